--- a/src/nettledeal/deployment_settings.py
+++ b/src/nettledeal/deployment_settings.py
@@ -42,7 +42,7 @@
     found: dict[str, Any] = {}
     for name, value in _flat(nested, ""):
         _check(name, value)
-        found[name] = units.setting(name, value)
+        found[name] = units.convert_setting(name, value)
     return found
 
 
--- a/src/nettledeal/hash_ring.py
+++ b/src/nettledeal/hash_ring.py
@@ -1,4 +1,4 @@
-"""Consistent hashing: a ring of marks, on which a key names the members that follow it."""
+"""Consistent hashing: members own points on a ring, and a key maps to the members that follow its hash."""
 
 from bisect import bisect_left
 from collections.abc import Iterable
@@ -9,21 +9,21 @@
 
 
 def stable_hash(text: str) -> int:
-    """A 64-bit hash, the same at every agent and in every process, which Python's own is not."""
+    """A 64-bit hash that is the same in every process, unlike Python's `hash`."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
 
 
-def marks_of(name: str, count: int) -> list[int]:
-    """Where a member of that name stands on the ring."""
+def ring_points(name: str, count: int) -> list[int]:
+    """The points of the member with that name on the ring."""
     return [stable_hash(f"{name} {n}") for n in range(count)]
 
 
 class HashRing(Generic[Member]):
-    def __init__(self, marks: Iterable[tuple[int, Member]] = ()):
-        self._marks = sorted(marks, key=lambda entry: entry[0])
-
-    def following(self, key: str, most: int) -> list[Member]:
-        """The members whose marks follow the key's, each once, from a walk over `most` marks at the most."""
-        start = bisect_left(self._marks, stable_hash(key), key=lambda entry: entry[0])
-        steps = range(start, start + min(len(self._marks), most))
-        return list(dict.fromkeys(self._marks[n % len(self._marks)][1] for n in steps))
+    def __init__(self, points: Iterable[tuple[int, Member]] = ()):
+        self._points = sorted(points, key=lambda entry: entry[0])
+
+    def following(self, key: str, max_steps: int) -> list[Member]:
+        """The members that follow the key on the ring, each once, within at most `max_steps` points."""
+        start = bisect_left(self._points, stable_hash(key), key=lambda entry: entry[0])
+        steps = range(start, start + min(len(self._points), max_steps))
+        return list(dict.fromkeys(self._points[n % len(self._points)][1] for n in steps))
--- a/src/nettledeal/model.py
+++ b/src/nettledeal/model.py
@@ -1,7 +1,7 @@
-"""The types that pass between the decisions and whatever hosts them.
+"""Types exchanged between the decision module (`policy`) and its hosts: the agent and the simulator bridge.
 
-All times are whole tenths of a millisecond on one clock that only moves forward. Ids of work items
-and backends are the host's and are handed back unchanged.
+All times are whole tenths of a millisecond on one monotonic clock. The host chooses the ids of work items
+and backends, and gets them back unchanged.
 """
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 BackendId = Hashable
 
 
+# Whether a work item may run more than once. The values are those of the settings.
 class Effect(Enum):
-    RERUNNABLE = "rerunnable"
-    TICKETED = "ticketed"
-    EXCLUSIVE = "exclusive"
+    IDEMPOTENT = "rerunnable"
+    DEDUPLICATED = "ticketed"  # backends drop a repeat, within a scope and a time window
+    AT_MOST_ONCE = "exclusive"
 
 
-class Group(Enum):
-    """The backends that drop a repeat of a ticketed work item which one of them has run."""
+class DedupScope(Enum):
+    """Which backends drop a repeat of a deduplicated work item that one of them has run."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,31 +32,31 @@
 
 
 class Outcome(Enum):
-    """How one hand-off ended."""
+    """How one attempt ended."""
 
     FINISHED = "finished"
     ERROR = "error"
-    FULL = "full"
-    OVERDUE = "overdue"
+    FULL = "full"  # rejected by an overloaded backend without running
+    TIMED_OUT = "overdue"
     UNREACHABLE = "unreachable"
-    RESET = "reset"
-    RECALLED = "recalled"
+    RESET = "reset"  # the connection was lost after the request was sent
+    CANCELLED = "recalled"
     UNSENT = "unsent"
 
     @property
-    def ran_not(self) -> bool:
-        """The hand-off is known not to have run."""
+    def never_ran(self) -> bool:
+        """Whether the attempt is known not to have run."""
         return self in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.UNSENT)
 
 
 class Verdict(Enum):
-    """The final answers that the balancer gives itself; a finished one reaches the client unaided."""
+    """Final answers that the balancer gives itself; a successful response needs no verdict."""
 
-    DEFERRED = "deferred"
-    WRITTEN_OFF = "written off"
+    DEFERRED = "deferred"  # the client may safely retry later
+    FAILED = "written off"
 
 
-class Life(Enum):
+class Lifecycle(Enum):
     RUNNING = "running"
     DRAINING = "draining"
     GONE = "gone"
@@ -63,26 +64,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """What discovery says of one backend; `started` is 0 for one that has run for long."""
+    """What discovery says about one backend; `started_at` is 0 if it has been running for long."""
 
     backend: BackendId
-    life: Life = Life.RUNNING
+    lifecycle: Lifecycle = Lifecycle.RUNNING
     zone: int = 0
-    kind: int = 0
+    machine_type: int = 0
     cell: int = 0
-    size: float = 1.0
-    started: Time = 0
+    weight: float = 1.0
+    started_at: Time = 0
 
 
 @dataclass(frozen=True, slots=True)
-class HandOff:
-    """Send the work item to the backend; hand-offs of a work item are numbered from 0 in this order."""
+class SendAttempt:
+    """Send the work item to the backend. The attempts of a work item are numbered from 0 in this order."""
 
     work_item: WorkItemId
     number: int
     backend: BackendId
-    time_out: Time
-    begin_by: Time | None = None  # the moment from which it must not begin any more, where there is one
+    timeout: Time
+    begin_by: Time | None = None  # if set, the backend must not start it at or after this time
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,8 +96,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recall:
-    """Stop waiting for a hand-off that nobody needs any more."""
+class CancelAttempt:
+    """Cancel an attempt whose response is no longer needed."""
 
     work_item: WorkItemId
     number: int
@@ -108,19 +109,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Enquiry:
-    """Ask the list service to keep this agent informed of changes."""
+class SubscribeToList:
+    """Ask the discovery service to keep this agent informed of changes to the list of backends."""
 
 
-Act = HandOff | Answer | Recall | Probe | Enquiry
+Action = SendAttempt | Answer | CancelAttempt | Probe | SubscribeToList
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What one call leads to: things to do now, in order, and when to call `wake` at the latest."""
+    """Result of one call: actions to carry out now, in order, and the time to call `wake` at the latest."""
 
-    acts: list[Act]
-    wake: Time | None
+    actions: list[Action]
+    wake_at: Time | None
 
 
-Report = Mapping[str, float]
+LoadReport = Mapping[str, float]
--- a/src/nettledeal/net/clock.py
+++ b/src/nettledeal/net/clock.py
@@ -7,7 +7,7 @@
 from gevent import get_hub
 
 from nettledeal.model import Time
-from nettledeal.units import up
+from nettledeal.units import round_up
 
 SECOND = 10_000
 # In nanoseconds; shorter than any wait for something to come: the loop has only looked.
@@ -22,13 +22,13 @@
         self.looks: tuple = ()
 
     def now(self) -> Time:
-        return up(time.monotonic_ns() + self.offset)
+        return round_up(time.monotonic_ns() + self.offset)
 
     def came(self) -> Time:
         """When what is handled now has come. The loop wakes at once for what comes while it rests; what
         comes while it is at work is found at its next look. A busy agent would take its own lateness for
         that of its backends, and hold requests to be younger than they are."""
-        return up((self.arrived or time.monotonic_ns()) + self.offset)
+        return round_up((self.arrived or time.monotonic_ns()) + self.offset)
 
     def attend(self) -> None:
         """From here on the loop's rests are known."""
--- a/src/nettledeal/net/protocol/backend.py
+++ b/src/nettledeal/net/protocol/backend.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from nettledeal.model import Outcome, Report, Time
+from nettledeal.model import LoadReport, Outcome, Time
 from nettledeal.net.protocol.bodies import BodyUntilClose, chunk
 from nettledeal.net.protocol.client import ClientRequest
 from nettledeal.net.protocol.framing import MOST_BODY, Malformed, Message, MessageReader, Unread
@@ -28,7 +28,7 @@
     outcome: Outcome
     body: memoryview | bytes = b""
     lines: bytes = b""  # of its head, for the client
-    report: Report | None = None
+    report: LoadReport | None = None
     took: Time = 0
     rest: Rest | None = None  # of a long body, as it comes
 
--- a/src/nettledeal/net/protocol/catalogue.py
+++ b/src/nettledeal/net/protocol/catalogue.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from nettledeal.model import Life, Listing
+from nettledeal.model import Lifecycle, Listing
 from nettledeal.net.address import Address, parsed
 
-_LIVES = {"ready": Life.RUNNING, "draining": Life.DRAINING, "gone": Life.GONE}
+_LIVES = {"ready": Lifecycle.RUNNING, "draining": Lifecycle.DRAINING, "gone": Lifecycle.GONE}
 
 
 class Garbled(ValueError):
@@ -76,19 +76,19 @@
 
     def _add(self, news: CatalogueUpdate, entry: _Entry) -> None:
         life = _LIVES.get(entry.lifecycle)
-        if life is not Life.GONE:
+        if life is not Lifecycle.GONE:
             news.places[entry.instance_id] = parsed(entry.host_port)
         news.listings.append(self._listing(entry, life))
 
-    def _listing(self, entry: _Entry, life: Life | None) -> Listing:
+    def _listing(self, entry: _Entry, life: Lifecycle | None) -> Listing:
         return Listing(
             backend=entry.instance_id,
             # A word not known yet is no promise that new work is wanted.
-            life=life or Life.DRAINING,
+            lifecycle=life or Lifecycle.DRAINING,
             # A zone that no setting names is no one's home.
             zone=self.zones.get(entry.zone, -1),
-            kind=self.kinds.get(entry.machine_type, -1),
+            machine_type=self.kinds.get(entry.machine_type, -1),
             cell=entry.cell,
-            size=entry.weight if isfinite(entry.weight) and entry.weight > 0 else 1.0,
-            started=max(0, entry.started_at_ms) * 10,
+            weight=entry.weight if isfinite(entry.weight) and entry.weight > 0 else 1.0,
+            started_at=max(0, entry.started_at_ms) * 10,
         )
--- a/src/nettledeal/net/protocol/client.py
+++ b/src/nettledeal/net/protocol/client.py
@@ -10,7 +10,7 @@
 
 from nettledeal.model import Time
 from nettledeal.net.protocol.framing import MOST_BODY, Malformed, Message, MessageReader
-from nettledeal.units import TENTH
+from nettledeal.units import NS_PER_TENTH
 
 READY = b"/_health"
 # Their answers are framed by rules of their own.
@@ -147,7 +147,7 @@
     elif chunked:
         head += "Transfer-Encoding: chunked\r\n"
     if retry_after > 0:
-        seconds = f"{retry_after * TENTH / 1e9:.4f}".rstrip("0").rstrip(".")
+        seconds = f"{retry_after * NS_PER_TENTH / 1e9:.4f}".rstrip("0").rstrip(".")
         head += f"Retry-After: {seconds}\r\n"
     if not keep:
         head += "Connection: close\r\n"
--- a/src/nettledeal/net/protocol/reports.py
+++ b/src/nettledeal/net/protocol/reports.py
@@ -4,14 +4,14 @@
 
 from math import isfinite
 
-from nettledeal.model import Report
+from nettledeal.model import LoadReport
 
 # What backends call what the settings call otherwise.
 _NAMES = {"inflight": "outstanding", "queue": "backlog", "util": "utilization"}
 _MOST = 1024
 
 
-def report(text: bytes | memoryview | None) -> Report:
+def report(text: bytes | memoryview | None) -> LoadReport:
     """What can be read of a report; what is no sensible number is left out."""
     found: dict[str, float] = {}
     if text is None or len(text) > _MOST:
--- a/src/nettledeal/net/routing/actions.py
+++ b/src/nettledeal/net/routing/actions.py
@@ -7,7 +7,17 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from nettledeal.model import Act, Answer, Enquiry, HandOff, Outcome, Probe, Recall, Time, Verdict
+from nettledeal.model import (
+    Action,
+    Answer,
+    CancelAttempt,
+    Outcome,
+    Probe,
+    SendAttempt,
+    SubscribeToList,
+    Time,
+    Verdict,
+)
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.protocol import backend as dialect
@@ -65,7 +75,7 @@
         self.subscribe = subscribe
         self.open: dict[int, OpenRequest] = {}
 
-    def carry_out(self, acts: Iterable[Act], told: Time) -> None:
+    def carry_out(self, acts: Iterable[Action], told: Time) -> None:
         """In their order; `told` is the time that the balancer went by."""
         for act in acts:
             try:
@@ -73,25 +83,25 @@
             except Exception:
                 # The acts behind it are for other work items.
                 self.counters.fault(type(act).__name__)
-                if isinstance(act, HandOff):
+                if isinstance(act, SendAttempt):
                     self.events.returned(act.work_item, act.number, Reply(Outcome.UNSENT))
 
-    def _act(self, act: Act, told: Time) -> None:
+    def _act(self, act: Action, told: Time) -> None:
         match act:
-            case HandOff():
+            case SendAttempt():
                 self._hand_off(act, told)
             case Answer(id, verdict, retry_after):
                 self._answer(id, verdict, retry_after)
-            case Recall(id, number):
+            case CancelAttempt(id, number):
                 held = self.open.get(id)
                 if held is not None and number in held.out:
                     held.out[number].drop()
             case Probe(backend):
                 self._probe(str(backend))
-            case Enquiry():
+            case SubscribeToList():
                 self.subscribe()
 
-    def _hand_off(self, act: HandOff, told: Time) -> None:
+    def _hand_off(self, act: SendAttempt, told: Time) -> None:
         held = self.open.get(act.work_item)
         self.counters.must(held is not None, "a hand-off belongs to a work item not yet answered")
 
@@ -110,14 +120,14 @@
             done(Reply(Outcome.UNSENT))
 
     def _exchange(
-        self, act: HandOff, held: OpenRequest, told: Time, done: Callable[[Reply], None]
+        self, act: SendAttempt, held: OpenRequest, told: Time, done: Callable[[Reply], None]
     ) -> Exchange:
         request = held.request
-        time_out = act.time_out
+        time_out = act.timeout
         if request.upload is not None:
             # Its expiry lies as far off as the slowest upload; its answer's wait runs from its last byte.
             time_out = max(1, held.pending.by - told - SLOWEST - 2 * WAY)
-        exchange = Exchange(dialect.hand_off(request, time_out), told + act.time_out, done)
+        exchange = Exchange(dialect.hand_off(request, time_out), told + act.timeout, done)
         exchange.begin_by = act.begin_by
         exchange.bare = request.method == b"HEAD"
         exchange.wanted = lambda: held.pending.wanted
--- a/src/nettledeal/net/routing/router.py
+++ b/src/nettledeal/net/routing/router.py
@@ -12,8 +12,8 @@
 from gevent.event import AsyncResult
 from gevent.queue import Empty, SimpleQueue
 
-from nettledeal.learned_state import meaning_of, reset_changed
-from nettledeal.model import Life, Outcome, Step, Time
+from nettledeal.learned_state import dependencies, reset_changed
+from nettledeal.model import Lifecycle, Outcome, Step, Time
 from nettledeal.net.address import Address
 from nettledeal.net.clock import SECOND, Clock
 from nettledeal.net.counters import Counters
@@ -181,7 +181,7 @@
             self.queue.put((self._withdraw, (id,)))
 
     def _withdraw(self, id: int) -> None:
-        self._carry_out(self.balancer.withdrawn(self._now(), id))
+        self._carry_out(self.balancer.on_withdrawn(self._now(), id))
 
     def _woken(self) -> None:
         if self.wake is not None and self.wake <= self.clock.now():
@@ -197,15 +197,15 @@
         self.told = max(self.told, at)
         category = self.intake.category(request)
         self._carry_out(
-            self.balancer.take(
+            self.balancer.submit(
                 self.told,
                 id,
                 category,
                 max(at + 1, expiry),
                 customer=self.intake.customer(request),
                 key=request.key,
-                again=request.again,
-                long=request.upload is not None,
+                is_retry=request.again,
+                is_long=request.upload is not None,
             )
         )
 
@@ -225,17 +225,17 @@
             held.pending.put(HTTPStatus.OK, reply.body, reply.lines, rest=reply.rest)
             self.actions.close(id)
         self._carry_out(
-            self.balancer.returned(
+            self.balancer.on_attempt_end(
                 self._now(), id, number, reply.outcome, reply.took, closed=False, report=reply.report or {}
             )
         )
 
     def _probed(self, backend: str, reply: Reply) -> None:
-        step = self.balancer.probed(self._now(), backend, reply.outcome, reply.took, reply.report or {})
+        step = self.balancer.on_probe(self._now(), backend, reply.outcome, reply.took, reply.report or {})
         self._carry_out(step)
 
     def _handed_on(self, id: int, number: int) -> None:
-        self._carry_out(self.balancer.handed_on(self._now(), id, number))
+        self._carry_out(self.balancer.on_upload_forwarded(self._now(), id, number))
 
     def _ordered(self) -> None:
         while self.orders:
@@ -253,13 +253,13 @@
     def _retune(
         self, settings: Mapping, customers: dict[str, int], waits: dict[str, Time], most: int
     ) -> None:
-        before = meaning_of(self.balancer.state.settings)
-        self._carry_out(self.balancer.retune(self._now(), settings))
+        before = dependencies(self.balancer.state.settings)
+        self._carry_out(self.balancer.apply_settings(self._now(), settings))
         for part in reset_changed(self.balancer, before, self.told):
             self.counters[f"begun afresh: {part}"] += 1
         state = self.balancer.state
         names = [category.name for category in state.categories]
-        self.intake.retune(names, state.named, customers, waits, most, self.clock.now())
+        self.intake.retune(names, state.named_count, customers, waits, most, self.clock.now())
 
     def _reach(self, backend: str) -> None:
         """Connections to what the list calls running, unless an operator has taken it out; without them
@@ -274,7 +274,7 @@
         for listing in news.listings:
             backend = str(listing.backend)
             named.add(backend)
-            if listing.life is Life.RUNNING:
+            if listing.lifecycle is Lifecycle.RUNNING:
                 self.places[backend] = news.places[backend]
             else:
                 self.places.pop(backend, None)
@@ -287,9 +287,9 @@
         self._carry_out(self.balancer.update_backends(now, news.listings, whole=news.whole, cached=cached))
 
     def _lost(self) -> None:
-        self._carry_out(self.balancer.discovery_failed(self._now()))
+        self._carry_out(self.balancer.on_discovery_failed(self._now()))
 
     def _carry_out(self, step: Step) -> None:
-        if step.wake is not None and (self.wake is None or step.wake < self.wake):
-            self.wake = step.wake
-        self.actions.carry_out(step.acts, self.told)
+        if step.wake_at is not None and (self.wake is None or step.wake_at < self.wake):
+            self.wake = step.wake_at
+        self.actions.carry_out(step.actions, self.told)
--- a/src/nettledeal/net/transport/backend_connection.py
+++ b/src/nettledeal/net/transport/backend_connection.py
@@ -169,7 +169,7 @@
         except gevent.Timeout:
             if self.sock is not None:
                 abandon(self.sock)
-            return Reply(Outcome.OVERDUE if exchange.written else Outcome.UNREACHABLE), False
+            return Reply(Outcome.TIMED_OUT if exchange.written else Outcome.UNREACHABLE), False
         except OSError:
             return self._broken(exchange), False
         except Malformed as fault:
@@ -262,7 +262,7 @@
     def _broken(self, exchange: Exchange) -> Reply:
         if exchange.written:
             # After the last byte was given to the kernel nobody knows whether it ran.
-            return Reply(Outcome.RECALLED if exchange.dropped else Outcome.RESET)
+            return Reply(Outcome.CANCELLED if exchange.dropped else Outcome.RESET)
         # What we or the client ended says nothing of the backend.
         upload = exchange.upload
         ours = exchange.dropped or self.pool.closed or upload is not None and upload.given_up
--- a/src/nettledeal/peers.py
+++ b/src/nettledeal/peers.py
@@ -120,7 +120,7 @@
         if not self.census.names:
             return {}
         state = self.router.balancer.state
-        return {"balancers": state.fleet, "me": state.me, "dealt": ",".join(self.dealt)}
+        return {"balancers": state.fleet_size, "me": state.index, "dealt": ",".join(self.dealt)}
 
     def _count(self, what: str) -> None:
         self.counters[what] += 1
@@ -170,7 +170,9 @@
         found: list[str] = []
         for home, width in ((True, SUBSET), (False, SUBSET // 2)):
             group = tuple(
-                str(b.id) for b in state.backends.values() if b.runs and (b.listing.zone == self.zone) is home
+                str(b.id)
+                for b in state.backends.values()
+                if b.in_service and (b.listing.zone == self.zone) is home
             )
             mates = tuple(name for name in agents if places[name] == self.zone)
             found += dealt_out(mates, group, width).get(self.member.name, ())
--- a/src/nettledeal/policy/__init__.py
+++ b/src/nettledeal/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of nettledeal, a module a concern; `balancer.py` has the calls of the host."""
+"""The decision module of nettledeal, one file per concern; `balancer.py` is its interface to the hosts."""
--- a/src/nettledeal/policy/balancer.py
+++ b/src/nettledeal/policy/balancer.py
@@ -1,190 +1,189 @@
-"""The decisions of nettledeal as its hosts call them.
+"""The interface of the decision module to its hosts.
 
-One `Balancer` serves one agent. Its host calls `start` once, then the others as things happen, each with
-the time now. Each call gives a `Step`: acts to carry out at once, in order, and the time of the next `wake`.
+One `Balancer` serves one agent. Its host calls `start` once, then the other methods as events happen, each
+with the current time, and gets a `Step`: actions to carry out in order, and the time of the next `wake`.
 Times are whole tenths of a millisecond. No clock, no I/O, no globals: the same calls give the same steps.
 """
 
 from collections.abc import Iterable, Mapping
 from heapq import heappop
 
-from nettledeal.model import BackendId, Life, Listing, Outcome, Report, Step, Time, WorkItemId
+from nettledeal.model import BackendId, Lifecycle, Listing, LoadReport, Outcome, Step, Time, WorkItemId
 from nettledeal.policy.dispatch import Dispatch
 from nettledeal.policy.shared_state import SECOND
-from nettledeal.records import Backend, Category, HandOffResult, WorkItem
+from nettledeal.records import AttemptEnd, Backend, Category, WorkItem
 
 
 class Balancer(Dispatch):
-    """The calls of the host; `start` comes first and once."""
+    """The methods that the host calls; `start` first, and only once."""
 
     def start(self, now: Time) -> Step:
         return self._step(now)
 
-    def take(
+    def submit(
         self, now: Time, id: WorkItemId, category: int, expiry: Time, *, customer: int = 0,
-        key: str | None = None, again: bool = False, long: bool = False,
+        key: str | None = None, is_retry: bool = False, is_long: bool = False,
     ) -> Step:  # fmt: skip
         kind = self.state.category(category)
         due = expiry
-        # When a long one will be whole is not known: until then it counts as one with all its time.
-        if kind.due and not long:
-            due = min(expiry, self._first_taken(now, kind, expiry, again) + kind.due)
-        wi = WorkItem(id, kind, now, due, expiry, customer, again, self.work_items.most, key)
-        self.work_items.open[id] = wi
-        self.admission.taken(wi, now)
+        if kind.due_in and not is_long:  # the end of a long upload is unknown, so it has its whole time
+            due = min(expiry, self._first_tried(now, kind, expiry, is_retry) + kind.due_in)
+        item = WorkItem(id, kind, now, due, expiry, customer, is_retry, self.work_items.max_attempts, key)
+        self.work_items.by_id[id] = item
+        self.admission.record_received(item, now)
         if key is not None and self.state.warm_keys:
-            self.key_affinity.taken(key)
-        self.copies = min(5.0, self.copies + 0.03)
-        self.memory.probes = min(10.0, self.memory.probes + self.state.probe_gain / self.state.processes)
-        self._route(wi, now)
+            self.key_affinity.count_key(key)
+        self.hedge_credit = min(5.0, self.hedge_credit + 0.03)
+        self.loads.probe_credit = min(
+            10.0, self.loads.probe_credit + self.state.probe_refill / self.state.processes
+        )
+        self._route(item, now)
         return self._step(now)
 
-    def _first_taken(self, now: Time, category: Category, expiry: Time, again: bool) -> Time:
-        """When the client first asked, since its due time runs from there and late repeats are wasted work. A
-        first try may wait as long as other first tries; a repeat that may wait for another time has what is
-        left of the category's whole expiry."""
-        if not again:
-            category.usual = expiry - now
-        elif abs(expiry - now - category.usual) > 2 * self.resolution:
-            return min(now, expiry - category.expiry)
+    def _first_tried(self, now: Time, category: Category, expiry: Time, is_retry: bool) -> Time:
+        """When the client first tried, as the due time runs from there and late retries are wasted work. A
+        retry that does not wait as long as first tries do has the rest of the category's expiry left."""
+        if not is_retry:
+            category.usual_wait = expiry - now
+        elif abs(expiry - now - category.usual_wait) > 2 * self.resolution:
+            return min(now, expiry - category.expires_in)
         return now
 
-    def returned(
+    def on_attempt_end(
         self, now: Time, id: WorkItemId, number: int, outcome: Outcome, took: Time, *, closed: bool,
-        report: Report,
+        report: LoadReport,
     ) -> Step:  # fmt: skip
-        ho = self.in_flight.pop((id, number), None)
-        if ho is None:
+        attempt = self.in_flight.pop((id, number), None)
+        if attempt is None:
             return self._step(now)
-        ho.backend.own.pop((id, number), None)
-        ho.outcome = outcome
-        self.state.count_open(now, -1 if not ho.lost else 0)
-        wi = self.work_items.open.get(id)
-        r = HandOffResult(wi, ho, outcome, took, report, now)
-        self.admission.on_result(r)
-        self.memory.on_result(r, self.locality.threshold)
-        self.locality.on_result(r)
-        self.health.on_result(r)
-        ho.backend.known = ho.backend.known or outcome is Outcome.FINISHED
+        attempt.backend.in_flight.pop((id, number), None)
+        attempt.outcome = outcome
+        self.state.count_open(now, -1 if not attempt.lost else 0)
+        item = self.work_items.by_id.get(id)
+        end = AttemptEnd(item, attempt, outcome, took, report, now)
+        self.admission.on_end(end)
+        self.loads.on_end(end, self.locality.threshold)
+        self.locality.on_end(end)
+        self.health.on_end(end)
+        attempt.backend.confirmed = attempt.backend.confirmed or outcome is Outcome.FINISHED
         if outcome is Outcome.FINISHED:
-            self.state.trials.pop(ho.backend.id, None)
-        if wi is None:
+            self.state.trials.pop(attempt.backend.id, None)
+        if item is None:
             return self._step(now)
-        wi.open -= 1
+        item.open_attempts -= 1
         if closed or outcome is Outcome.FINISHED:
-            self._close(wi)
-        elif not wi.open:
-            wi.must_home = wi.must_home or ho.offload
-            self._route(wi, now)
+            self._close(item)
+        elif not item.open_attempts:
+            item.home_only = item.home_only or attempt.cross_zone
+            self._route(item, now)
         return self._step(now)
 
     def update_backends(self, now: Time, listings: Iterable[Listing], *, whole: bool, cached: bool) -> Step:
         self.discovery.apply(listings, now, whole, cached)
         if not cached:
-            self.discovery.heard()
+            self.discovery.on_list()
         return self._step(now)
 
-    def retune(self, now: Time, settings: Mapping) -> Step:
-        """Other settings; what is open keeps the category that it came with."""
-        self.state.tune(settings)
+    def apply_settings(self, now: Time, settings: Mapping) -> Step:
+        """New settings; open work items keep the categories that they came with."""
+        self.state.configure(settings)
         for stage in (self.work_items, self.admission, self.health):
-            stage.tune()
-        self.state.regroup(now)  # its zone, its number or the price of connections may be others
+            stage.configure()
+        self.state.rebuild_groups(now)  # zone, index or connection price may have changed
         return self._step(now)
 
-    def share(self, processes: int) -> None:
-        """So many are one agent for a while, and each has its part of what one may do; whole again alone."""
+    def set_processes(self, processes: int) -> None:
+        """Several processes form one agent for a while, and each gets its part of the agent's limits."""
         part = self.state.processes / processes
-        self.admission.limit, self.admission.safe = part * self.admission.limit, part * self.admission.safe
+        self.admission.limit, self.admission.knee = part * self.admission.limit, part * self.admission.knee
         self.state.processes = processes
 
     def cordon(self, now: Time, id: BackendId, heard: bool = False) -> bool:
-        """Out of service until `uncordon`, whatever the list says; whether there is such a backend, as there
-        is for another process that has been told so."""
+        """Out of service until `uncordon`. True if it is known, or `heard` from another process."""
         state, b = self.state, self.state.backends.get(id)
-        if heard or b is not None and b.listing.life is not Life.GONE:
+        if heard or b is not None and b.listing.lifecycle is not Lifecycle.GONE:
             state.cordoned.setdefault(id, now)
             state.trials.pop(id, None)
             if b is not None:
                 b.cordoned = True
-            state.regroup(now)
+            state.rebuild_groups(now)
         return id in state.cordoned
 
     def uncordon(self, now: Time, id: BackendId) -> bool:
-        """Used again as the list allows, like one just named: what was learned of it counts no more."""
+        """In service as the list allows, with nothing learned; returns whether the backend is known."""
         state, b = self.state, self.state.backends.get(id)
         if b is None and id not in state.cordoned:
             return False
         since = state.cordoned.pop(id, None)
         if b is not None and since is not None:
-            fresh = Backend.begin(b.listing, b.known, now, b)
-            # It is taken out to be restarted, and the list may tell that late: cold until it tells.
-            fresh.cold_since = now if b.listing.started < since else 0
+            fresh = Backend.fresh(b.listing, b.confirmed, now, b)
+            # Probably restarted meanwhile, which the list may tell late: cold until it does.
+            fresh.assumed_start = now if b.listing.started_at < since else 0
             state.backends[id] = fresh
             state.trials[id] = now + SECOND
-            self.health.judged.pop(id, None)
-            state.regroup(now)
+            self.health.tested.pop(id, None)
+            state.rebuild_groups(now)
         return True
 
-    def discovery_failed(self, now: Time) -> Step:
-        self.discovery.failed(now)
+    def on_discovery_failed(self, now: Time) -> Step:
+        self.discovery.on_failure(now)
         return self._step(now)
 
-    def withdrawn(self, now: Time, id: WorkItemId) -> Step:
-        wi = self.work_items.open.get(id)
-        if wi is not None:
-            self._close(wi)
+    def on_withdrawn(self, now: Time, id: WorkItemId) -> Step:
+        item = self.work_items.by_id.get(id)
+        if item is not None:
+            self._close(item)
         return self._step(now)
 
-    def probed(self, now: Time, id: BackendId, outcome: Outcome, took: Time, report: Report) -> Step:
+    def on_probe(self, now: Time, id: BackendId, outcome: Outcome, took: Time, report: LoadReport) -> Step:
         backend = self.state.backends.get(id)
         if backend is not None:
             if outcome is Outcome.FINISHED:
-                backend.heard_at = now
-                self.memory.read(backend, report, now)
+                backend.answered_at = now
+                self.loads.record_report(backend, report, now)
             if outcome not in (Outcome.FULL, Outcome.UNSENT):
-                self.health.judge(backend, outcome is not Outcome.FINISHED, now)
-        self.memory.probe_took.learn(took, now, SECOND, 0.1)
-        for waiting in self.asking.pop(id, ()):
-            wi = self.work_items.open.get(waiting)
-            if wi is not None and wi.asking:
-                wi.asking -= 1
-                if not wi.asking:
-                    self._route(wi, now)
+                self.health.record_result(backend, outcome is not Outcome.FINISHED, now)
+        self.loads.probe_time.learn(took, now, SECOND, 0.1)
+        for waiting in self.awaiting_probe.pop(id, ()):
+            item = self.work_items.by_id.get(waiting)
+            if item is not None and item.pending_probes:
+                item.pending_probes -= 1
+                if not item.pending_probes:
+                    self._route(item, now)
         return self._step(now)
 
-    def streaming(self, now: Time, id: WorkItemId, number: int) -> Step:
-        wi = self.work_items.open.get(id)
-        if wi is not None:
-            wi.streaming = True
+    def on_streaming(self, now: Time, id: WorkItemId, number: int) -> Step:
+        item = self.work_items.by_id.get(id)
+        if item is not None:
+            item.streaming = True
         return self._step(now)
 
-    def handed_on(self, now: Time, id: WorkItemId, number: int) -> Step:
-        """It goes out while it comes, and can't be sent again; its backend begins it with its last byte."""
-        ho = self.in_flight.get((id, number))
-        wi = self.work_items.open.get(id)
-        if ho is not None and wi is not None:
-            wi.streaming = ho.lost = True
-            ho.backend.own.pop((id, number), None)
+    def on_upload_forwarded(self, now: Time, id: WorkItemId, number: int) -> Step:
+        """A streamed upload cannot be sent again, and its backend starts work only after the last byte."""
+        attempt = self.in_flight.get((id, number))
+        item = self.work_items.by_id.get(id)
+        if attempt is not None and item is not None:
+            item.streaming = attempt.lost = True
+            attempt.backend.in_flight.pop((id, number), None)
             self.state.count_open(now, -1)
         return self._step(now)
 
     def wake(self, now: Time) -> Step:
-        while self.alarms and self.alarms[0][0] <= now:
-            _, _, id, number = heappop(self.alarms)
-            wi = self.work_items.open.get(id)
+        while self.timers and self.timers[0][0] <= now:
+            _, _, id, number = heappop(self.timers)
+            item = self.work_items.by_id.get(id)
             if number < 0:
-                if wi is not None and wi.asking:
-                    wi.asking = 0
-                    self._route(wi, now)
-            elif wi is not None and not wi.streaming and wi.sent[number].outcome is None:
-                self._overdue(wi, wi.sent[number], now)
+                if item is not None and item.pending_probes:
+                    item.pending_probes = 0
+                    self._route(item, now)
+            elif item is not None and not item.streaming and item.attempts[number].outcome is None:
+                self._on_overdue(item, item.attempts[number], now)
         return self._step(now)
 
     def _step(self, now: Time) -> Step:
-        self.acts += self.discovery.wake(now)
-        acts, self.acts = self.acts, []
-        times = [self.alarms[0][0]] if self.alarms else []
-        if self.discovery.next is not None:
-            times.append(self.discovery.next)
-        return Step(acts, min(times, default=None))
+        self.actions += self.discovery.wake(now)
+        actions, self.actions = self.actions, []
+        times = [self.timers[0][0]] if self.timers else []
+        if self.discovery.ask_at is not None:
+            times.append(self.discovery.ask_at)
+        return Step(actions, min(times, default=None))
--- a/src/nettledeal/policy/dispatch.py
+++ b/src/nettledeal/policy/dispatch.py
@@ -1,162 +1,172 @@
-"""The way of a work item out through the stages, to a hand-off, a probe or its final answer."""
+"""Dispatch: runs a work item through the stages, to an attempt, a probe or its final answer."""
 
 from collections.abc import Mapping
 from heapq import heappush
 
-from nettledeal.model import Act, BackendId, Effect, HandOff, Probe, Recall, Time, WorkItemId
+from nettledeal.model import Action, BackendId, CancelAttempt, Effect, Probe, SendAttempt, Time, WorkItemId
 from nettledeal.policy.admission import Admission
 from nettledeal.policy.discovery import Discovery
 from nettledeal.policy.health import BackendHealth
 from nettledeal.policy.key_affinity import KeyAffinity
+from nettledeal.policy.load_estimates import LoadEstimates
 from nettledeal.policy.locality import Locality
-from nettledeal.policy.memory import Memory
 from nettledeal.policy.retries import RetryRules
 from nettledeal.policy.shared_state import SECOND, SharedState
 from nettledeal.policy.work_items import OpenWorkItems
-from nettledeal.records import RoutingPass, SentHandOff, WorkItem
+from nettledeal.records import Attempt, Routing, WorkItem
 
-# Answers of a category from which its usual time is known.
-LEARNED = 20
+MIN_SAMPLES = 20  # answers of a category after which its base time counts as known
 
 
 class Dispatch:
-    """Takes work items out through the stages and hands them off; `Balancer` adds the calls of the host."""
+    """Routes work items through the stages and sends them; `Balancer` adds the calls of the host."""
 
     def __init__(self, seed: int, settings: Mapping, now: Time):
         self.state = SharedState(seed, settings)
         self.health = BackendHealth(self.state)
-        self.memory = Memory(self.state, self.health)
+        self.loads = LoadEstimates(self.state, self.health)
         self.work_items = OpenWorkItems(self.state)
-        self.admission = Admission(self.state, self.memory)
+        self.admission = Admission(self.state, self.loads)
         self.retries = RetryRules(self.state)
-        self.locality = Locality(self.state, self.memory)
+        self.locality = Locality(self.state, self.loads)
         self.discovery = Discovery(self.state, now)
         self.key_affinity = KeyAffinity(self.state)
-        self.stages = (self.work_items, self.admission, self.locality, self.memory)
-        self.alarms: list[tuple[Time, int, WorkItemId, int]] = []
-        self.alarm_count, self.copies = 0, 3.0
-        self.asking: dict[BackendId, list[WorkItemId]] = {}
+        self.stages = (self.work_items, self.admission, self.locality, self.loads)
+        self.timers: list[tuple[Time, int, WorkItemId, int]] = []
+        self.timer_count, self.hedge_credit = 0, 3.0
+        self.awaiting_probe: dict[BackendId, list[WorkItemId]] = {}
         self.resolution = max(1, self.state.get("resolution", 10))
-        self.in_flight: dict[tuple[WorkItemId, int], SentHandOff] = {}
-        self.acts: list[Act] = []
+        self.in_flight: dict[tuple[WorkItemId, int], Attempt] = {}
+        self.actions: list[Action] = []
 
-    def _route(self, wi: WorkItem, now: Time, extra: bool = False) -> None:
-        p = RoutingPass(wi, now, extra=extra)
-        self.memory.views.clear()
-        p.favoured = self.key_affinity.preferred(wi.key) if wi.key is not None else []
-        if self._trial(p):
+    def _route(self, item: WorkItem, now: Time, is_hedge: bool = False) -> None:
+        route = Routing(item, now, is_hedge=is_hedge)
+        self.loads.costs.clear()
+        route.preferred = self.key_affinity.preferred(item.key) if item.key is not None else []
+        if self._send_trial(route):
             return
-        # What the effect allows and what is sound goes into the look around, so that a sample has both.
-        p.choices = self.state.sample(
+        # Retry rules and health filter the sample itself, so that enough candidates remain.
+        route.candidates = self.state.sample(
             lambda b: (
-                self.retries.allows(wi, b, now)
-                and self.health.allows(wi, b, now)
-                and not (extra and any(ho.backend is b for ho in wi.sent))
+                self.retries.allows(item, b, now)
+                and self.health.allows(item, b, now)
+                and not (is_hedge and any(attempt.backend is b for attempt in item.attempts))
             ),
-            p.favoured,
+            route.preferred,
         )
-        if all(stage.on_request(p) for stage in self.stages) and self._legal(p):
-            if p.ask and self._ask(p):
+        if all(stage.on_request(route) for stage in self.stages) and self._may_send(route):
+            if route.to_probe and self._probe_first(route):
                 return
-            self._hand_off(p)
-        elif not wi.open:
-            # Given up on: it gets its answer now, not near its expiry.
-            self.acts.append(self.work_items.answer(wi, self.admission.retry_after(wi, now)))
+            self._send(route)
+        elif not item.open_attempts:  # answered now, rather than near its expiry
+            self.actions.append(self.work_items.answer(item, self.admission.retry_after(item, now)))
 
-    def _trial(self, p: RoutingPass) -> bool:
-        """Back in service a backend is as good as unknown, and others look better for long: one first try
-        now and then goes there until one is answered."""
-        for id, at in self.state.trials.items() if not p.wi.sent else ():
+    def _send_trial(self, route: Routing) -> bool:
+        """A first attempt now and then to a backend put back in service, as others look better for long."""
+        for id, at in self.state.trials.items() if not route.item.attempts else ():
             b = self.state.backends.get(id)
-            if at <= p.now and b is not None:
-                p.pick, p.offload = b, b.listing.zone != self.state.home
-                if self._legal(p):
-                    self.state.trials[id] = p.now + SECOND // 2
-                    self._hand_off(p)
+            if at <= route.now and b is not None:
+                route.chosen, route.cross_zone = b, b.listing.zone != self.state.zone
+                if self._may_send(route):
+                    self.state.trials[id] = route.now + SECOND // 2
+                    self._send(route)
                     return True
         return False
 
-    def _legal(self, p: RoutingPass) -> bool:
-        """The last look before a hand-off, whatever the stages made of it."""
+    def _may_send(self, route: Routing) -> bool:
+        """Final check of all rules before an attempt, independent of the stages."""
         return (
-            p.wi.id in self.work_items.open
-            and not p.wi.streaming
-            and self.work_items.on_request(p)
-            and self.retries.allows(p.wi, p.pick, p.now)
-            and self.health.allows(p.wi, p.pick, p.now)
+            route.item.id in self.work_items.by_id
+            and not route.item.streaming
+            and self.work_items.on_request(route)
+            and self.retries.allows(route.item, route.chosen, route.now)
+            and self.health.allows(route.item, route.chosen, route.now)
         )
 
-    def _ask(self, p: RoutingPass) -> bool:
-        """Probe before the draw; whether the work item is kept until the probes are back."""
-        wi, memory = p.wi, self.memory
-        wi.asked = True
-        self.acts += [Probe(b.id) for b in p.ask]
-        patience = 2 * self.resolution + int(2 * memory.probe_took.value)
-        if patience > 0.1 * self.state.expected(wi.category):
+    def _probe_first(self, route: Routing) -> bool:
+        """Sends probes; returns whether the work item waits for their answers before it is sent."""
+        item, loads = route.item, self.loads
+        item.has_probed = True
+        self.actions += [Probe(b.id) for b in route.to_probe]
+        patience = 2 * self.resolution + int(2 * loads.probe_time.value)
+        if patience > 0.1 * self.state.base_time(item.category):
             return False
-        wi.asking = len(p.ask)
-        for b in p.ask:
-            self.asking.setdefault(b.id, []).append(wi.id)
-        self._alarm(p.now + patience, wi, -1)
+        item.pending_probes = len(route.to_probe)
+        for b in route.to_probe:
+            self.awaiting_probe.setdefault(b.id, []).append(item.id)
+        self._set_timer(route.now + patience, item, -1)
         return True
 
-    def _hand_off(self, p: RoutingPass) -> None:
-        wi, now, backend = p.wi, p.now, p.pick
-        expected = self.state.expected(wi.category)
-        ahead = self.memory.queue(backend, now)
-        due_back = now + int((1 + ahead) * expected * self.memory.pace(backend, now)) + 1
-        others, begin_by = self.memory.others(backend, now), self.retries.window(wi)
-        ho = SentHandOff(len(wi.sent), backend, now, due_back, ahead, len(backend.own), others, p.offload)
-        wi.sent.append(ho)
-        self.in_flight[(wi.id, ho.number)] = ho
-        wi.open += 1
+    def _send(self, route: Routing) -> None:
+        item, now, backend = route.item, route.now, route.chosen
+        base_time = self.state.base_time(item.category)
+        ahead = self.loads.queue(backend, now)
+        expected_by = now + int((1 + ahead) * base_time * self.loads.slowness(backend, now)) + 1
+        others, begin_by = self.loads.others_queue(backend, now), self.retries.deadline(item)
+        attempt = Attempt(
+            len(item.attempts),
+            backend,
+            now,
+            expected_by,
+            ahead,
+            len(backend.in_flight),
+            others,
+            route.cross_zone,
+        )
+        item.attempts.append(attempt)
+        self.in_flight[(item.id, attempt.number)] = attempt
+        item.open_attempts += 1
         self.state.count_open(now, 1)
-        backend.own[(wi.id, ho.number)] = ho
-        backend.own_since += 1
-        self.health.sent(p)
-        if p.extra:
-            self.copies -= 1.0
-        # The answer must reach the client before its expiry, so the last time-out comes a little sooner.
-        time_out = max(1, wi.expiry - now - 2 * self.resolution)
-        patience = int(max(4 * (due_back - now), 4 * expected))
-        self._alarm(now + patience, wi, ho.number)
-        # Where no copy may go beside it, a straggler is given up while another backend can still be on time;
-        # only in an idle fleet whose usual time is known, since what was begun goes on and is done twice.
-        again = wi.category.effect is Effect.RERUNNABLE and len(wi.sent) < 2 and not self.state.may_copy
-        idle = wi.category.seen >= LEARNED and self.admission.slowdown < 1.5
-        if again and idle and wi.due - now - patience > expected:
-            time_out = min(time_out, patience)
-        self.acts.append(HandOff(wi.id, ho.number, backend.id, time_out, begin_by))
+        backend.in_flight[(item.id, attempt.number)] = attempt
+        backend.sent_since_reading += 1
+        self.health.record_sent(route)
+        if route.is_hedge:
+            self.hedge_credit -= 1.0
+        timeout = max(
+            1, item.expires_at - now - 2 * self.resolution
+        )  # the answer must reach the client by then
+        patience = int(max(4 * (expected_by - now), 4 * base_time))
+        self._set_timer(now + patience, item, attempt.number)
+        # Without hedging a straggler times out while another backend can still be on time; only in an idle
+        # fleet and with a known base time, since the backend goes on and the work is done twice.
+        retry = (
+            item.category.effect is Effect.IDEMPOTENT and len(item.attempts) < 2 and not self.state.may_hedge
+        )
+        idle = item.category.samples >= MIN_SAMPLES and self.admission.slowdown < 1.5
+        if retry and idle and item.due_at - now - patience > base_time:
+            timeout = min(timeout, patience)
+        self.actions.append(SendAttempt(item.id, attempt.number, backend.id, timeout, begin_by))
 
-    def _alarm(self, at: Time, wi: WorkItem, number: int) -> None:
-        """Look again at hand-off `number`; at -1 for a work item kept for its probes."""
-        self.alarm_count += 1
-        heappush(self.alarms, (at, self.alarm_count, wi.id, number))
+    def _set_timer(self, at: Time, item: WorkItem, number: int) -> None:
+        """Checks attempt `number` at that time; -1 stands for a work item that waits for its probes."""
+        self.timer_count += 1
+        heappush(self.timers, (at, self.timer_count, item.id, number))
 
-    def _close(self, wi: WorkItem) -> None:
-        """The client has its answer; what still runs for it is recalled where that is allowed."""
-        del self.work_items.open[wi.id]
-        if self.state.may_recall and not wi.streaming:
-            self.acts += [Recall(wi.id, ho.number) for ho in wi.sent if ho.outcome is None]
+    def _close(self, item: WorkItem) -> None:
+        """The client has its answer; attempts still in flight are cancelled where that is allowed."""
+        del self.work_items.by_id[item.id]
+        if self.state.may_cancel and not item.streaming:
+            self.actions += [
+                CancelAttempt(item.id, sent.number) for sent in item.attempts if sent.outcome is None
+            ]
 
-    def _overdue(self, wi: WorkItem, ho: SentHandOff, now: Time) -> None:
-        """Nothing has come of a hand-off for several times as long as it should have taken."""
-        # A backend that answers others may be at work on a heavy one: a copy would double the heaviest work.
-        # A lone heavy item looks like silence, so a probe asks first.
-        if ho.backend.heard_at >= ho.at:
+    def _on_overdue(self, item: WorkItem, sent: Attempt, now: Time) -> None:
+        """The attempt has taken several times as long as expected."""
+        # A backend that has answered since may be busy with a heavy work item, and a hedge would double the
+        # heaviest work. A lone heavy work item looks like a dead backend, so probe it first.
+        if sent.backend.answered_at >= sent.sent_at:
             return
-        if self.state.may_probe and not ho.asked:
-            ho.asked = True
-            self.acts.append(Probe(ho.backend.id))
-            self._alarm(now + int(self.state.expected(wi.category)), wi, ho.number)
+        if self.state.may_probe and not sent.probed:
+            sent.probed = True
+            self.actions.append(Probe(sent.backend.id))
+            self._set_timer(now + int(self.state.base_time(item.category)), item, sent.number)
             return
-        # A backend that swallows some of its work would otherwise fill the limit with what never returns.
-        ho.lost = True
+        sent.lost = True  # a backend that loses work would otherwise use up the limit
         self.state.count_open(now, -1)
-        self.health.judge(ho.backend, True, now)
-        if wi.due - now <= self.state.expected(wi.category) or len(wi.sent) != ho.number + 1:
+        self.health.record_result(sent.backend, True, now)
+        if item.due_at - now <= self.state.base_time(item.category) or len(item.attempts) != sent.number + 1:
             return
-        if self.state.may_copy and self.copies >= 1.0:
-            self._route(wi, now, extra=True)
-        elif not self.state.may_copy and self.state.may_recall and wi.category.effect is Effect.RERUNNABLE:
-            self.acts.append(Recall(wi.id, ho.number))
+        if self.state.may_hedge and self.hedge_credit >= 1.0:
+            self._route(item, now, is_hedge=True)
+        elif not self.state.may_hedge and self.state.may_cancel and item.category.effect is Effect.IDEMPOTENT:
+            self.actions.append(CancelAttempt(item.id, sent.number))
--- a/src/nettledeal/policy/key_affinity.py
+++ b/src/nettledeal/policy/key_affinity.py
@@ -1,24 +1,23 @@
-"""Key affinity: the home backends where a key is kept warm, by consistent hashing."""
+"""Key affinity: which home backends keep the cache of a key warm, by consistent hashing."""
 
 from math import exp
 
-from nettledeal.policy.shared_state import SAMPLE, SharedState
+from nettledeal.policy.shared_state import SAMPLE_SIZE, SharedState
 from nettledeal.records import Backend
 
-# Work items counted by key.
-KEYS_COUNTED = 100
+KEYS_COUNTED = 100  # recent work items whose keys are counted
 
 
 class KeyAffinity:
-    """Where a key is kept warm: agents that share nothing name the same few home backends by a hash."""
+    """Maps a key to the same few home backends at every agent, by a hash and without coordination."""
 
     def __init__(self, state: SharedState):
         self.state = state
         self.counts: dict[str, float] = {}
-        self.total, self.asked = 0.0, 0
+        self.total, self.lookups = 0.0, 0
 
-    def taken(self, key: str) -> None:
-        """Counts own work items by key, the old ones fading, so that a hot key is known as one."""
+    def count_key(self, key: str) -> None:
+        """Counts own work items by key, with decay, to detect hot keys."""
         self.counts[key] = self.counts.get(key, 0.0) + 1.0
         self.total += 1.0
         if self.total >= 2 * KEYS_COUNTED:
@@ -31,12 +30,12 @@
                     del self.counts[key]
 
     def preferred(self, key: str) -> list[Backend]:
-        """A hot key takes more than one backend bears, so as many as its share of the work asks for."""
+        """The backends that the key prefers: several for a hot key, by its share of the work."""
         share = (self.counts.get(key, 1.0) - 1.0) / (self.total + 10.0)
-        wanted = 1 + min(int(2 * share * len(self.state.near)), SAMPLE // 2)
-        found = self.state.ring.following(key, 4 * SAMPLE)[:wanted]
-        self.asked += bool(found)
-        for b in found:  # the part of the work items that name it, over as many as keys are counted
-            old = exp(-(self.asked - b.pulled_at) / KEYS_COUNTED)
-            b.pull, b.pulled_at = old * b.pull + (1.0 - exp(-1.0 / KEYS_COUNTED)), self.asked
+        wanted = 1 + min(int(2 * share * len(self.state.near)), SAMPLE_SIZE // 2)
+        found = self.state.key_ring.following(key, 4 * SAMPLE_SIZE)[:wanted]
+        self.lookups += bool(found)
+        for b in found:  # its smoothed share of keyed work items
+            decay = exp(-(self.lookups - b.key_share_at) / KEYS_COUNTED)
+            b.key_share, b.key_share_at = decay * b.key_share + (1.0 - exp(-1.0 / KEYS_COUNTED)), self.lookups
         return found
--- a/src/nettledeal/policy/locality.py
+++ b/src/nettledeal/policy/locality.py
@@ -1,59 +1,58 @@
 """Locality: whether a work item stays in the home zone or overflows to others, by a learned threshold."""
 
 from nettledeal.model import Outcome, Time
-from nettledeal.policy.memory import Memory
+from nettledeal.policy.load_estimates import LoadEstimates
 from nettledeal.policy.shared_state import SECOND, SharedState
-from nettledeal.records import Backend, HandOffResult, RoutingPass, WorkItem
+from nettledeal.records import AttemptEnd, Backend, Routing, WorkItem
 
-# The design's threshold before anything has been learned: the paper's warm containers.
-FIRST_THRESHOLD = 2.0
+FIRST_THRESHOLD = 2.0  # before anything has been learned; from the design's paper, for warm containers
 
 
 class Locality:
-    """The home test: home while the mean of the home backends' queues is under the threshold."""
+    """Stays in the home zone while the mean queue of the home backends is below the threshold."""
 
-    def __init__(self, state: SharedState, memory: Memory):
-        self.state, self.memory = state, memory
+    def __init__(self, state: SharedState, loads: LoadEstimates):
+        self.state, self.loads = state, loads
         self.threshold, self.learned_at = FIRST_THRESHOLD, 0
-        self.worth = 0.0  # the usual worth of a work item
+        self.mean_worth = 0.0  # smoothed worth of a work item
 
-    def on_request(self, p: RoutingPass) -> bool:
-        home = [b for b in p.choices if b.listing.zone == self.state.home]
-        away = [b for b in p.choices if b.listing.zone != self.state.home]
-        if p.wi.must_home and home:
+    def on_request(self, route: Routing) -> bool:
+        home = [b for b in route.candidates if b.listing.zone == self.state.zone]
+        away = [b for b in route.candidates if b.listing.zone != self.state.zone]
+        if route.item.home_only and home:
             away = []
         if home and away:
-            mean = self._mean(home, p.now)
-            # An offload to peers no better off would only be declined, or wait longer there.
-            stays = mean < self._bearable(p.wi) or self._mean(away, p.now) >= mean
+            mean = self._mean_queue(home, route.now)
+            # Backends elsewhere that are no better off would only reject it, or have it wait longer.
+            stays = mean < self._threshold(route.item) or self._mean_queue(away, route.now) >= mean
             home, away = (home, []) if stays else ([], away)
-        p.offload = not home
-        p.choices = home or away
-        return bool(p.choices)
-
-    def _bearable(self, wi: WorkItem) -> float:
-        """A crossing costs the same for all: what is worth more, and moves more work, crosses first."""
-        worth = wi.category.payoff
-        if self.state.by_work:
-            worth *= self.state.expected(wi.category)
-        self.worth = worth if not self.worth else 0.98 * self.worth + 0.02 * worth
-        return self.threshold * min(3.0, max(0.5, self.worth / max(worth, 1e-9)))
-
-    def _mean(self, backends: list[Backend], now: Time) -> float:
-        return sum(self.memory.view(b, now) - 1.0 for b in backends) / len(backends)
-
-    def on_result(self, r: HandOffResult) -> None:
-        if r.wi is None or r.ho.offload or r.ho.backend.listing.zone != self.state.home:
+        route.cross_zone = not home
+        route.candidates = home or away
+        return bool(route.candidates)
+
+    def _threshold(self, item: WorkItem) -> float:
+        """Crossing zones costs the same for all work items, so the more valuable ones cross first."""
+        worth = item.category.payoff
+        if self.state.payoff_per_work:
+            worth *= self.state.base_time(item.category)
+        self.mean_worth = worth if not self.mean_worth else 0.98 * self.mean_worth + 0.02 * worth
+        return self.threshold * min(3.0, max(0.5, self.mean_worth / max(worth, 1e-9)))
+
+    def _mean_queue(self, backends: list[Backend], now: Time) -> float:
+        return sum(self.loads.cost(b, now) - 1.0 for b in backends) / len(backends)
+
+    def on_end(self, end: AttemptEnd) -> None:
+        if end.item is None or end.attempt.cross_zone or end.attempt.backend.listing.zone != self.state.zone:
             return
-        timed = r.outcome in (Outcome.FINISHED, Outcome.OVERDUE)
-        late = r.outcome is Outcome.FULL or timed and r.now > r.wi.due
-        # By the time since the last answer, within bounds: with a trickle of them a home zone that is full
-        # for all its agents would go on being full for as many answers.
-        step = min(4.0, max(1.0, 10.0 * (r.now - self.learned_at) / SECOND))
-        self.learned_at = r.now
+        timed = end.outcome in (Outcome.FINISHED, Outcome.TIMED_OUT)
+        late = end.outcome is Outcome.FULL or timed and end.now > end.item.due_at
+        # The step grows with the time since the last answer, within bounds: agents with few answers would
+        # otherwise keep sending to a home zone that is full for all of them.
+        step = min(4.0, max(1.0, 10.0 * (end.now - self.learned_at) / SECOND))
+        self.learned_at = end.now
         if late:
             self.threshold = max(0.25, self.threshold * 0.9**step)
-        elif r.outcome is Outcome.FINISHED:
-            # It stands still where the share of late answers times what lateness costs meets that price.
-            rise = step * self.state.crossing / (1 - self.state.crossing)
+        elif end.outcome is Outcome.FINISHED:
+            # In balance where the share of late answers times their cost equals the cost of crossing.
+            rise = step * self.state.crossing_cost / (1 - self.state.crossing_cost)
             self.threshold = min(FIRST_THRESHOLD, self.threshold * 0.9**-rise)
--- a/src/nettledeal/siblings.py
+++ b/src/nettledeal/siblings.py
@@ -105,7 +105,7 @@
             if processes != before:
                 log.info("processes of this agent", processes=processes)
                 self.shared(processes)
-                self.router.execute(balancer.share, processes)
+                self.router.execute(balancer.set_processes, processes)
                 handover.me.learned = None
                 if processes > 1 and handover.me.state == SERVING:
                     handover.me.learned = self.router.execute(export_learned, balancer, self.clock.now())
--- a/src/nettledeal/sim/__init__.py
+++ b/src/nettledeal/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: a codec and a host loop. Nothing is decided here."""
+"""Bridge to the simulator: a codec for its line protocol and a host loop. No decisions here."""
--- a/src/nettledeal/sim/codec.py
+++ b/src/nettledeal/sim/codec.py
@@ -1,26 +1,37 @@
-"""Lines of the bench's wire, to and from the words of the project; units and rounding are in `units.py`."""
+"""Codec of the simulator's line protocol; units and rounding are in `units.py`."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from nettledeal.model import Act, Answer, Enquiry, HandOff, Life, Listing, Outcome, Probe, Recall, Verdict
-from nettledeal.units import TENTH, is_duration, setting, up
+from nettledeal.model import (
+    Action,
+    Answer,
+    CancelAttempt,
+    Lifecycle,
+    Listing,
+    Outcome,
+    Probe,
+    SendAttempt,
+    SubscribeToList,
+    Verdict,
+)
+from nettledeal.units import NS_PER_TENTH, convert_setting, is_duration, round_up
 
 OUTCOMES = {
     "S": Outcome.FINISHED,
     "E": Outcome.ERROR,
     "F": Outcome.FULL,
-    "T": Outcome.OVERDUE,
+    "T": Outcome.TIMED_OUT,
     "C": Outcome.UNREACHABLE,
     "R": Outcome.RESET,
-    "X": Outcome.RECALLED,
+    "X": Outcome.CANCELLED,
     "N": Outcome.UNSENT,
 }
-LIVES = {"live": Life.RUNNING, "quiescing": Life.DRAINING, "dead": Life.GONE}
+LIFECYCLES = {"live": Lifecycle.RUNNING, "quiescing": Lifecycle.DRAINING, "dead": Lifecycle.GONE}
 
-# Fields without which a known event cannot be acted on.
-REQUIRED = {
+# Fields that each event must have.
+REQUIRED_FIELDS = {
     "tick": ("sim_time",),
     "pool": ("table", "members"),
     "entry": ("backend",),
@@ -34,7 +45,7 @@
     "pong": ("i", "backend", "outcome"),
     "streaming": ("i", "txn", "go"),
 }
-NUMBERS = frozenset(
+INTEGER_FIELDS = frozenset(
     (
         "sim_time",
         "table",
@@ -60,57 +71,57 @@
 )
 
 
-class Garbled(ValueError):
-    """A line that cannot be read; the text says what is wrong with it."""
+class ProtocolError(ValueError):
+    """A malformed line; the message says what is wrong with it."""
 
 
 def parse(line: str) -> tuple[str, dict]:
-    """A line's name and its fields; an unknown message comes back with no fields."""
+    """Splits a line into event name and fields; an unknown event has no fields."""
     name, _, rest = line.partition(" ")
-    required = REQUIRED.get(name)
+    required = REQUIRED_FIELDS.get(name)
     if required is None:
         return name, {}
     fields: dict = {}
     if name == "up":
-        # The settings follow the two named fields without a name of their own.
+        # Besides these two fields the line lists the settings, as `name=value` each.
         parts = rest.split(" ")
         fields["facts"] = " ".join(part for part in parts if not part.startswith(("i=", "prng=")))
         rest = " ".join(part for part in parts if part.startswith(("i=", "prng=")))
     for part in rest.split():
         key, equals, value = part.partition("=")
         if not equals:
-            raise Garbled(f"{name}: no value in {part!r}")
-        if key in NUMBERS:
+            raise ProtocolError(f"{name}: no value in {part!r}")
+        if key in INTEGER_FIELDS:
             try:
                 fields[key] = int(value)
             except ValueError:
-                raise Garbled(f"{name}: {key} is no whole number: {value!r}") from None
+                raise ProtocolError(f"{name}: {key} is no whole number: {value!r}") from None
         else:
             fields[key] = value
     for key in required:
         if key not in fields:
-            raise Garbled(f"{name}: {key} is missing")
+            raise ProtocolError(f"{name}: {key} is missing")
     return name, fields
 
 
-def settings(facts: str) -> dict:
-    """The settings as a plain map, in the project's words and units; unknown names pass through."""
+def settings(settings_text: str) -> dict:
+    """The settings by name, in the units of the project; unknown ones pass through."""
     found: dict = {}
-    for part in facts.split():
+    for part in settings_text.split():
         name, equals, text = part.partition("=")
         if not equals:
-            raise Garbled(f"up: no value in {part!r}")
+            raise ProtocolError(f"up: no value in {part!r}")
         try:
             found[name] = _value(name, text)
         except ValueError:
-            raise Garbled(f"up: {name} cannot be read: {text!r}") from None
+            raise ProtocolError(f"up: {name} cannot be read: {text!r}") from None
     return found
 
 
 def _value(name: str, text: str):
     last = name.rpartition(".")[2]
     if is_duration(name) or last == "effect":
-        return setting(name, text)
+        return convert_setting(name, text)
     if last in ("name", "zones", "kinds", "tiers", "fields", "workload", "via", "weights", "payoff_by"):
         return text
     if text in ("true", "false"):
@@ -127,22 +138,22 @@
 
 def listing(fields: Mapping) -> Listing:
     try:
-        size = float(fields.get("nominal", 1))
+        weight = float(fields.get("nominal", 1))
     except ValueError:
-        raise Garbled(f"entry: nominal is no number: {fields['nominal']!r}") from None
+        raise ProtocolError(f"entry: nominal is no number: {fields['nominal']!r}") from None
     return Listing(
         backend=fields["backend"],
-        life=LIVES.get(fields.get("lifecycle", "live"), Life.RUNNING),
+        lifecycle=LIFECYCLES.get(fields.get("lifecycle", "live"), Lifecycle.RUNNING),
         zone=fields.get("rack_zone", 0),
-        kind=fields.get("shape", 0),
+        machine_type=fields.get("shape", 0),
         cell=fields.get("stripe", 0),
-        size=size,
-        started=up(fields.get("came_up", 0)),
+        weight=weight,
+        started_at=round_up(fields.get("came_up", 0)),
     )
 
 
 def report(row: str | None, names: list[str]) -> dict[str, float]:
-    """A load report by name; what is no number is left out."""
+    """Parses a load report by field name; values that are not numbers are left out."""
     values: dict[str, float] = {}
     if row:
         for name, text in zip(names, row.split(","), strict=False):
@@ -153,20 +164,20 @@
     return values
 
 
-def encode(instance: int, act: Act) -> str:
+def encode(instance: int, act: Action) -> str:
     match act:
-        case HandOff(work_item, _, backend, time_out):
-            patience = f" give_up_after={time_out * TENTH}" if time_out > 0 else ""
-            return f"relay i={instance} txn={work_item}{patience} backend={backend}"
+        case SendAttempt(work_item, _, backend, timeout):
+            timeout_field = f" give_up_after={timeout * NS_PER_TENTH}" if timeout > 0 else ""
+            return f"relay i={instance} txn={work_item}{timeout_field} backend={backend}"
         case Answer(work_item, Verdict.DEFERRED, retry_after):
-            advice = f" retry_after={retry_after * TENTH}" if retry_after > 0 else ""
-            return f"reject i={instance} txn={work_item}{advice}"
+            retry_field = f" retry_after={retry_after * NS_PER_TENTH}" if retry_after > 0 else ""
+            return f"reject i={instance} txn={work_item}{retry_field}"
         case Answer(work_item, _, _):
             return f"finish_error i={instance} txn={work_item}"
-        case Recall(work_item, number):
+        case CancelAttempt(work_item, number):
             return f"cancel i={instance} txn={work_item} go={number}"
         case Probe(backend):
             return f"inspect i={instance} backend={backend}"
-        case Enquiry():
+        case SubscribeToList():
             return f"keep_informed i={instance} active=1"
     raise TypeError(f"no line for {act!r}")
--- a/src/nettledeal/units.py
+++ b/src/nettledeal/units.py
@@ -1,19 +1,20 @@
-"""Words, units and rounding that both hosts of the balancer need: the bench's wire and the sockets.
+"""Units and rounding shared by the hosts of the balancer: the simulator bridge and the network agent.
 
-Both are given settings in nanoseconds; the project counts tenths of a millisecond. What is rounded
-goes to the side that keeps the rules: the clock up, an expiry and a memory of repeats down, a cold
-start's length up.
+Both receive settings in nanoseconds, while the project counts tenths of a millisecond. Values are rounded
+to the side that keeps the rules: the clock and the length of a warm-up up, an expiry and a deduplication
+window down.
 """
 
 from __future__ import annotations
 
-TENTH = 100_000
-# A moment or a duration, in tenths of a millisecond.
+NS_PER_TENTH = 100_000
+# A point in time or a duration, in tenths of a millisecond.
 Time = int
 
+# Values of `effect` in the simulator's settings.
 EFFECTS = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
 
-# Durations among the settings, and which way each is rounded.
+# Settings that are durations, by the direction in which they are rounded.
 ROUND_DOWN = frozenset(
     (
         "allowed.conn_idle",
@@ -25,27 +26,32 @@
     )
 )
 ROUND_UP = frozenset(("resolution", "rules.tip_after", "rules.warm_within"))
-CATEGORY_TIMES = frozenset(("due_time", "expiry", "window"))
+CATEGORY_DURATIONS = frozenset(("due_time", "expiry", "window"))
 
 
-def down(nanoseconds: int) -> int:
-    return nanoseconds // TENTH
+def round_down(nanoseconds: int) -> int:
+    return nanoseconds // NS_PER_TENTH
 
 
-def up(nanoseconds: int) -> int:
-    return -(-nanoseconds // TENTH)
+def round_up(nanoseconds: int) -> int:
+    return -(-nanoseconds // NS_PER_TENTH)
 
 
 def is_duration(name: str) -> bool:
     last = name.rpartition(".")[2]
-    return name in ROUND_DOWN or name in ROUND_UP or name.startswith("categories.") and last in CATEGORY_TIMES
+    return (
+        name in ROUND_DOWN
+        or name in ROUND_UP
+        or name.startswith("categories.")
+        and last in CATEGORY_DURATIONS
+    )
 
 
-def setting(name: str, value):
-    """One of the settings in the project's words and units; an unknown name passes through."""
+def convert_setting(name: str, value):
+    """Converts a setting to the names and units of the project; unknown settings pass through."""
     if is_duration(name):
-        return up(int(value)) if name in ROUND_UP else down(int(value))
+        return round_up(int(value)) if name in ROUND_UP else round_down(int(value))
     if name.rpartition(".")[2] == "effect":
-        # Unknown rights are the strictest ones.
+        # For an unknown effect the strictest rules hold.
         return EFFECTS.get(value, "exclusive")
     return value
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 import gevent
 from gevent import socket
 
-from nettledeal.model import Answer, HandOff, Listing, Outcome, Verdict
+from nettledeal.model import Answer, Listing, Outcome, SendAttempt, Verdict
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.transport.budget import Budget
@@ -14,7 +14,7 @@
 from nettledeal.policy.balancer import Balancer
 
 SECOND = 10_000
-DEFERRED, WRITTEN_OFF = Verdict.DEFERRED, Verdict.WRITTEN_OFF
+DEFERRED, FAILED = Verdict.DEFERRED, Verdict.FAILED
 
 
 def settings(**changes):
@@ -64,18 +64,18 @@
 
     def take(self, category=0, expiry=20_000, **fields):
         self.ids += 1
-        return self.balancer.take(self.now, self.ids, category, self.now + expiry, **fields).acts
+        return self.balancer.submit(self.now, self.ids, category, self.now + expiry, **fields).actions
 
     def back(self, ho, outcome=Outcome.FINISHED, after=800, closed=None, report=None):
         self.now += after
         closed = outcome is Outcome.FINISHED if closed is None else closed
-        return self.balancer.returned(
+        return self.balancer.on_attempt_end(
             self.now, ho.work_item, ho.number, outcome, after, closed=closed, report=report or {}
-        ).acts
+        ).actions
 
 
 def hand_offs(acts):
-    return [act for act in acts if isinstance(act, HandOff)]
+    return [act for act in acts if isinstance(act, SendAttempt)]
 
 
 def answers(acts):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SECOND, Drive, answers, fleet, hand_offs, settings
 
-from nettledeal.model import Life, Listing, Outcome, Probe, Recall
+from nettledeal.model import CancelAttempt, Lifecycle, Listing, Outcome, Probe
 from nettledeal.policy.balancer import Balancer
 from nettledeal.policy.locality import FIRST_THRESHOLD
 
@@ -30,7 +30,7 @@
     drive = Drive(fleet((0, 0, 1, 1)))
     for n, queue in enumerate((home, home, away, away)):
         for _ in range(12):
-            drive.balancer.probed(drive.now, f"b{n}", Outcome.FINISHED, 3, {"outstanding": queue})
+            drive.balancer.on_probe(drive.now, f"b{n}", Outcome.FINISHED, 3, {"outstanding": queue})
     (ho,) = hand_offs(drive.take(0, 20_000))
     assert ho.backend in goes
 
@@ -38,7 +38,7 @@
 def test_declined_offload_goes_home_once():
     drive = Drive(fleet((0, 1)))
     for _ in range(12):
-        drive.balancer.probed(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 9})
+        drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 9})
     (ho,) = hand_offs(drive.take())
     assert ho.backend == "b1"
     (ho,) = hand_offs(drive.back(ho, Outcome.FULL, after=20))
@@ -50,10 +50,10 @@
     (ho,) = hand_offs(drive.take())
     drive.back(ho, Outcome.FULL, after=20)
     backend = drive.balancer.state.backends[ho.backend]
-    memory = drive.balancer.memory
-    assert memory.queue(backend, drive.now) >= FIRST_THRESHOLD
-    memory.read(backend, {"outstanding": 0.0}, drive.now)
-    assert memory.queue(backend, drive.now) < FIRST_THRESHOLD
+    loads = drive.balancer.loads
+    assert loads.queue(backend, drive.now) >= FIRST_THRESHOLD
+    loads.record_report(backend, {"outstanding": 0.0}, drive.now)
+    assert loads.queue(backend, drive.now) < FIRST_THRESHOLD
 
 
 @pytest.mark.parametrize("report", [{}, {"utilization": 0.8, "throughput": 9.0}])
@@ -61,25 +61,25 @@
     drive = Drive(fleet((0, 0)))
     (ho,) = hand_offs(drive.take())
     (second,) = hand_offs(drive.back(ho, Outcome.FULL, after=20))
-    backend, memory = drive.balancer.state.backends[ho.backend], drive.balancer.memory
-    assert backend.pinned is not None
+    backend, loads = drive.balancer.state.backends[ho.backend], drive.balancer.loads
+    assert backend.pinned_queue is not None
     drive.back(second, report=report)
     for _ in range(200):
         (ho,) = hand_offs(drive.take())
         drive.back(ho, report=report)
     # It counted each of them as waiting there for good.
-    assert backend.pinned is None and memory.queue(backend, drive.now) == 0.0
+    assert backend.pinned_queue is None and loads.queue(backend, drive.now) == 0.0
 
 
 def test_smoothing_keeps_seven_tenths_of_history():
     drive = Drive(fleet((0,)))
     backend = drive.balancer.state.backends["b0"]
-    memory = drive.balancer.memory
-    memory.read(backend, {"outstanding": 10.0}, drive.now)
-    memory.read(backend, {"outstanding": 0.0}, drive.now)
-    assert backend.smoothed == pytest.approx(7.0)
-    memory.read(backend, {"outstanding": 0.0}, drive.now + 3 * SECOND)
-    assert backend.smoothed == pytest.approx(7.0 * 0.7**3)
+    loads = drive.balancer.loads
+    loads.record_report(backend, {"outstanding": 10.0}, drive.now)
+    loads.record_report(backend, {"outstanding": 0.0}, drive.now)
+    assert backend.others_smoothed == pytest.approx(7.0)
+    loads.record_report(backend, {"outstanding": 0.0}, drive.now + 3 * SECOND)
+    assert backend.others_smoothed == pytest.approx(7.0 * 0.7**3)
 
 
 def test_draw_counts_own_sends():
@@ -128,7 +128,7 @@
     for turn in range(20):
         drive.now += 2000
         for n, backend in enumerate(backends):
-            health.judge(backend, n < failing and turn % 2 < 2 * share, drive.now)
+            health.record_result(backend, n < failing and turn % 2 < 2 * share, drive.now)
     levels = [health.distrust(backend, drive.now) for backend in backends]
     assert all((level > 0.5) == distrusted for level in levels[:failing])
     # Even when all fail alike, none is out of the draw for good.
@@ -156,13 +156,13 @@
 def test_copy_only_after_silence_and_the_loser_is_recalled():
     drive = Drive(fleet((0, 0, 0)), allowed__may_duplicate=True)
     spread(drive, 30, after=300)
-    drive.balancer.copies = 3.0
+    drive.balancer.hedge_credit = 3.0
     acts = drive.take(0, 20_000)
     (first,) = hand_offs(acts)
     drive.now += 6000
-    (copy,) = hand_offs(drive.balancer.wake(drive.now).acts)
+    (copy,) = hand_offs(drive.balancer.wake(drive.now).actions)
     assert copy.backend != first.backend
-    assert drive.back(copy, after=300) == [Recall(first.work_item, 0)]
+    assert drive.back(copy, after=300) == [CancelAttempt(first.work_item, 0)]
 
 
 def test_probe_before_the_draw_where_it_is_cheap_and_tells():
@@ -177,7 +177,7 @@
     assert all(isinstance(act, Probe) for act in acts)
     for queue, name in enumerate(("b0", "b1", "b2")):
         report = {"outstanding": 2.0 * queue}
-        acts = drive.balancer.probed(drive.now + 5, name, Outcome.FINISHED, 5, report).acts
+        acts = drive.balancer.on_probe(drive.now + 5, name, Outcome.FINISHED, 5, report).actions
     assert [ho.backend for ho in hand_offs(acts)] == ["b0"]
 
 
@@ -191,7 +191,7 @@
         return [act.backend for act in acts if isinstance(act, Probe)]
 
     for name in probes():
-        drive.balancer.probed(drive.now, name, Outcome.FINISHED, 900, {"outstanding": 0})
+        drive.balancer.on_probe(drive.now, name, Outcome.FINISHED, 900, {"outstanding": 0})
     # As long as it is fresh in memory that they wait in line, none go out; with none out, only time tells.
     assert not probes()
     drive.now += 10 * SECOND
@@ -201,27 +201,27 @@
 def test_lost_probes_do_not_keep_a_work_item():
     drive = Drive(allowed__probes=True, tariffs__probe=0.002, feedback__fields="outstanding")
     drive.take()
-    assert hand_offs(drive.balancer.wake(drive.now + 100).acts)
+    assert hand_offs(drive.balancer.wake(drive.now + 100).actions)
 
 
 def test_asks_for_the_list_until_it_is_heard():
     balancer = Balancer(1, settings(discovery="on_request"), 0)
     asked = []
-    now = balancer.start(0).wake
+    now = balancer.start(0).wake_at
     for _ in range(3):
         step = balancer.wake(now)
-        asked += step.acts
-        now = step.wake
+        asked += step.actions
+        now = step.wake_at
         assert now < 40 * SECOND
     assert len(asked) == 3
-    assert balancer.update_backends(now, fleet(), whole=True, cached=False).wake is None
+    assert balancer.update_backends(now, fleet(), whole=True, cached=False).wake_at is None
 
 
 @pytest.mark.parametrize(
     ("listings", "whole", "running"),
     [
         ([Listing("b0")], True, {"b0"}),
-        ([Listing("b0", life=Life.GONE)], False, {"b1"}),
+        ([Listing("b0", lifecycle=Lifecycle.GONE)], False, {"b1"}),
         ([Listing("b9")], False, {"b0", "b1", "b9"}),
         ([], True, set()),
     ],
@@ -229,13 +229,17 @@
 def test_lists(listings, whole, running):
     drive = Drive(fleet((0, 0)))
     drive.balancer.update_backends(drive.now, listings, whole=whole, cached=False)
-    assert {b.id for b in drive.balancer.state.backends.values() if b.listing.life is Life.RUNNING} == running
+    assert {
+        b.id for b in drive.balancer.state.backends.values() if b.listing.lifecycle is Lifecycle.RUNNING
+    } == running
 
 
 def test_returning_backend_is_cold_and_forgiven():
     drive = Drive(fleet((0, 0)))
-    drive.balancer.health.judge(drive.balancer.state.backends["b0"], True, drive.now)
-    drive.balancer.update_backends(drive.now, [Listing("b0", started=drive.now)], whole=False, cached=False)
+    drive.balancer.health.record_result(drive.balancer.state.backends["b0"], True, drive.now)
+    drive.balancer.update_backends(
+        drive.now, [Listing("b0", started_at=drive.now)], whole=False, cached=False
+    )
     backend = drive.balancer.state.backends["b0"]
     assert drive.balancer.health.capacity(backend, drive.now) == pytest.approx(0.3)
     assert drive.balancer.health.distrust(backend, drive.now) == 0
@@ -258,7 +262,7 @@
 def test_repeat_past_its_first_due_time_is_not_sent(expiry, again, sent):
     drive = Drive()
     drive.take(0, 12_000)
-    assert len(hand_offs(drive.take(0, expiry, again=again))) == sent
+    assert len(hand_offs(drive.take(0, expiry, is_retry=again))) == sent
 
 
 @pytest.mark.parametrize(
@@ -269,7 +273,7 @@
     spread(drive, 30, after=300)
     drive.balancer.admission.slowdown = slowdown
     (ho,) = hand_offs(drive.take())
-    assert (ho.time_out < 10_000) == early
+    assert (ho.timeout < 10_000) == early
 
 
 def test_replaced_fleets_leave_nothing_behind():
@@ -289,10 +293,10 @@
     for reading in [idle_reads] * 20 + [1.0]:
         (ho,) = hand_offs(drive.take())
         drive.back(ho, report={"outstanding": reading})
-    assert drive.balancer.state.backends["b0"].others == others
+    assert drive.balancer.state.backends["b0"].others_reading == others
     # A probe is not counted by its own answer.
-    drive.balancer.probed(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 1.0})
-    assert drive.balancer.state.backends["b0"].others == 1.0
+    drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 1.0})
+    assert drive.balancer.state.backends["b0"].others_reading == 1.0
 
 
 @pytest.mark.parametrize(("queue", "cut"), [(1.0, False), (9.0, True)])
@@ -310,14 +314,14 @@
 def test_what_a_backend_that_answers_others_leaves_open_is_no_jam(meanwhile, cut):
     drive = Drive(fleet((0,)))
     spread(drive, 20, after=100)
-    drive.balancer.probed(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0.0})
+    drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0.0})
     admission = drive.balancer.admission
     before = admission.limit = 5.0
     while drive.now < 400_000 and (sent := hand_offs(drive.take(1))):
         if meanwhile:
             (other,) = hand_offs(drive.take(1))
             drive.back(other, after=100, report={"outstanding": 1.0})
-        drive.back(sent[0], Outcome.OVERDUE, after=5000)
+        drive.back(sent[0], Outcome.TIMED_OUT, after=5000)
     assert (admission.limit < before) is cut
 
 
@@ -326,7 +330,7 @@
     """Due in a second, a work item takes a twelfth of that alone; five times as long is no jam yet."""
     drive = Drive(fleet((0, 0, 0)))
     spread(drive, 40)
-    admission, took = drive.balancer.admission, drive.balancer.state.categories[0].base
+    admission, took = drive.balancer.admission, drive.balancer.state.categories[0].base_time
     assert 11 < 10_000 / took < 14
     limit, admission.slowdown = admission.limit, float(times)
     (ho,) = hand_offs(drive.take())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -195,30 +195,34 @@
 def test_what_was_learned_goes_on_with_its_age():
     old = grown()
     whole = old.balancer.admission.limit
-    old.balancer.share(2)
+    old.balancer.set_processes(2)
     left = msgspec.json.decode(msgspec.json.encode(export_learned(old.balancer, old.now)))
     new = Drive(now=old.now + SECOND)
-    new.balancer.share(2)
+    new.balancer.set_processes(2)
     assert import_learned(new.balancer, new.now, left)
     for mine, its in zip(old.balancer.state.categories, new.balancer.state.categories, strict=True):
-        assert (its.base, its.seen, its.usual) == (mine.base, mine.seen, mine.usual)
+        assert (its.base_time, its.samples, its.usual_wait) == (
+            mine.base_time,
+            mine.samples,
+            mine.usual_wait,
+        )
     # A part each, and the whole for the one that is left.
     assert new.balancer.admission.limit == old.balancer.admission.limit == whole / 2
-    new.balancer.share(1)
+    new.balancer.set_processes(1)
     assert new.balancer.admission.limit == whole
     b, its = old.balancer.state.backends["b2"], new.balancer.state.backends["b2"]
     assert its.distrust == b.distrust > 0 and its.distrust_at == b.distrust_at
     assert new.balancer.health.distrust(its, new.now) < old.balancer.health.distrust(b, old.now)
 
 
-@pytest.mark.parametrize("listing", [Listing("b1", started=1), Listing("other")])
+@pytest.mark.parametrize("listing", [Listing("b1", started_at=1), Listing("other")])
 def test_it_never_outlives_a_backends_id_or_start(listing):
     old = grown()
     left = export_learned(old.balancer, old.now)
     new = Drive([listing], now=old.now)
     assert import_learned(new.balancer, new.now, left)
     b = new.balancer.state.backends[listing.backend]
-    assert not b.pace and not b.distrust
+    assert not b.log_slowness and not b.distrust
 
 
 def test_one_put_back_meanwhile_keeps_nothing_of_before():
@@ -260,14 +264,14 @@
                 out += len(hand_offs(drive.take()))
         return out
 
-    cold = [Listing("b0", started=100_000)]
+    cold = [Listing("b0", started_at=100_000)]
     alone = Drive(cold, seed=3)
     two = [Drive(cold, seed=n) for n in (3, 4)]
     for drive in two:
-        drive.balancer.share(2)
+        drive.balancer.set_processes(2)
     b = alone.balancer.state.backends["b0"]
     whole = alone.balancer.health.budget(b, alone.now)
     assert sum(d.balancer.health.budget(b, d.now) for d in two) == pytest.approx(whole)
     assert pushed(two) <= pushed([alone]) + 1
-    two[0].balancer.share(1)
+    two[0].balancer.set_processes(1)
     assert two[0].balancer.health.budget(b, alone.now) == pytest.approx(whole)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SECOND, Drive, answers, fleet, hand_offs
 
-from nettledeal.model import Life, Listing, Outcome, Probe, Verdict
+from nettledeal.model import Lifecycle, Listing, Outcome, Probe, Verdict
 
 
 def run(drive, count, answer=True, **fields):
@@ -37,7 +37,7 @@
     assert probed and "b1" not in probed
 
 
-@pytest.mark.parametrize("life", [Life.RUNNING, Life.DRAINING, Life.GONE, None])
+@pytest.mark.parametrize("life", [Lifecycle.RUNNING, Lifecycle.DRAINING, Lifecycle.GONE, None])
 def test_what_the_list_says_meanwhile_undoes_nothing(life):
     drive = Drive()
     assert drive.balancer.cordon(drive.now, "b1")
@@ -47,7 +47,9 @@
     else:
         drive.balancer.update_backends(drive.now, others, whole=True, cached=False)
         assert drive.balancer.cordon(drive.now, "b1"), "out already, though unlisted"
-    drive.balancer.update_backends(drive.now, [Listing("b1", started=drive.now)], whole=False, cached=False)
+    drive.balancer.update_backends(
+        drive.now, [Listing("b1", started_at=drive.now)], whole=False, cached=False
+    )
     assert "b1" not in run(drive, 100)
     drive.balancer.cordon(drive.now, "b1")
     assert drive.balancer.uncordon(drive.now, "b1")  # twice out, once back
@@ -58,7 +60,7 @@
 def test_back_while_the_list_says_draining_the_lists_drain_binds():
     drive = Drive()
     drive.balancer.cordon(drive.now, "b1")
-    drive.balancer.update_backends(drive.now, [Listing("b1", Life.DRAINING)], whole=False, cached=False)
+    drive.balancer.update_backends(drive.now, [Listing("b1", Lifecycle.DRAINING)], whole=False, cached=False)
     assert drive.balancer.uncordon(drive.now, "b1")
     drive.now += SECOND
     assert "b1" not in run(drive, 100)
@@ -68,7 +70,7 @@
 def test_unknown_ids_get_a_no(call):
     drive = Drive()
     assert not getattr(drive.balancer, call)(drive.now, "b77")
-    drive.balancer.update_backends(drive.now, [Listing("b1", Life.GONE)], whole=False, cached=False)
+    drive.balancer.update_backends(drive.now, [Listing("b1", Lifecycle.GONE)], whole=False, cached=False)
     assert not getattr(drive.balancer, call)(drive.now, "b1")
 
 
@@ -99,18 +101,20 @@
     drive = Drive()
     b = drive.balancer.state.backends["b1"]
     for _ in range(9):
-        drive.balancer.health.judge(b, True, drive.now)
+        drive.balancer.health.record_result(b, True, drive.now)
     assert drive.balancer.health.distrust(b, drive.now) > 0.5
-    b.others, b.read_at = 50.0, drive.now
+    b.others_reading, b.read_at = 50.0, drive.now
     drive.balancer.cordon(drive.now, "b1")
     drive.now += 3 * SECOND
     start = drive.now
     if told == "meanwhile":
-        drive.balancer.update_backends(drive.now, [Listing("b1", started=start)], whole=False, cached=False)
+        drive.balancer.update_backends(
+            drive.now, [Listing("b1", started_at=start)], whole=False, cached=False
+        )
         drive.now += 2 * SECOND
     assert drive.balancer.uncordon(drive.now, "b1")
     if told == "after":
-        drive.balancer.update_backends(drive.now, [Listing("b1", started=1)], whole=False, cached=False)
+        drive.balancer.update_backends(drive.now, [Listing("b1", started_at=1)], whole=False, cached=False)
     b = drive.balancer.state.backends["b1"]
     assert drive.balancer.health.capacity(b, drive.now) == pytest.approx(capacity)
     assert drive.balancer.health.distrust(b, drive.now) == 0.0
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -11,10 +11,10 @@
 from nettledeal.configuration import check
 from nettledeal.configuration_change import check_replacement
 from nettledeal.configuration_files import ConfigError
-from nettledeal.learned_state import export_learned, import_learned, meaning_of, reset_changed
+from nettledeal.learned_state import dependencies, export_learned, import_learned, reset_changed
 from nettledeal.model import Listing, Outcome, Probe
 from nettledeal.net.protocol.backend import Reply
-from nettledeal.policy.admission import CROWD
+from nettledeal.policy.admission import OVERLOAD
 from nettledeal.policy.locality import FIRST_THRESHOLD
 from nettledeal.policy.shared_state import SUBSET
 
@@ -40,8 +40,8 @@
 
 
 def move(drive, listings=None, me=4):
-    before = meaning_of(drive.balancer.state.settings)
-    drive.balancer.retune(drive.now, MOVED | {"me": me})
+    before = dependencies(drive.balancer.state.settings)
+    drive.balancer.apply_settings(drive.now, MOVED | {"me": me})
     changed = reset_changed(drive.balancer, before, drive.now)
     if listings:
         drive.balancer.update_backends(drive.now, listings, whole=True, cached=False)
@@ -51,23 +51,23 @@
 def test_what_means_something_else_begins_afresh_and_the_rest_stays():
     drive = learned()
     balancer = drive.balancer
-    balancer.health.judge(balancer.state.backends["b1"], True, drive.now)
-    base, distrust = balancer.state.categories[0].base, balancer.state.backends["b1"].distrust
+    balancer.health.record_result(balancer.state.backends["b1"], True, drive.now)
+    base, distrust = balancer.state.categories[0].base_time, balancer.state.backends["b1"].distrust
     balancer.locality.threshold, balancer.admission.was_cut = 0.5, True
     assert sorted(move(drive)) == ["belief", "limit", "paces", "threshold"]
-    assert balancer.state.categories[0].base == base
+    assert balancer.state.categories[0].base_time == base
     assert balancer.state.backends["b1"].distrust == distrust > 0
-    assert (balancer.admission.limit, balancer.admission.was_cut) == (CROWD / 300, False)
+    assert (balancer.admission.limit, balancer.admission.was_cut) == (OVERLOAD / 300, False)
     assert balancer.locality.threshold == FIRST_THRESHOLD
-    assert balancer.memory.belief == pytest.approx(0.5)
-    assert not balancer.memory.kinds
+    assert balancer.loads.trust == pytest.approx(0.5)
+    assert not balancer.loads.type_slowness
 
 
 def test_the_same_settings_leave_all_as_it_was():
     drive = learned()
     before = export_learned(drive.balancer, drive.now)
-    drive.balancer.retune(drive.now, dict(drive.balancer.state.settings))
-    assert reset_changed(drive.balancer, meaning_of(drive.balancer.state.settings), drive.now) == []
+    drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings))
+    assert reset_changed(drive.balancer, dependencies(drive.balancer.state.settings), drive.now) == []
     assert export_learned(drive.balancer, drive.now) == before
 
 
@@ -79,13 +79,13 @@
         del left["shape"]
         left["categories"] = {name: (*figures, 0.0) for name, figures in left["categories"].items()}
     new = Drive([Listing(f"b{n}", zone=n % 2) for n in range(12)], now=old.now)
-    new.balancer.retune(new.now, MOVED if told == "other" else old.balancer.state.settings)
+    new.balancer.apply_settings(new.now, MOVED if told == "other" else old.balancer.state.settings)
     fresh = new.balancer.admission.limit
     assert import_learned(new.balancer, new.now, left)
-    assert new.balancer.state.categories[0].base == old.balancer.state.categories[0].base
+    assert new.balancer.state.categories[0].base_time == old.balancer.state.categories[0].base_time
     assert (new.balancer.admission.limit == old.balancer.admission.limit) == (told == "same")
     assert (new.balancer.admission.limit == fresh) == (told != "same")
-    assert bool(new.balancer.memory.kinds) == (told == "same")
+    assert bool(new.balancer.loads.type_slowness) == (told == "same")
 
 
 @pytest.mark.parametrize("start", ["moved", "from nothing"])
@@ -95,7 +95,7 @@
     work, deferred, taken = Counter(), 0, 0
     for me in range(60):
         drive = learned(me) if start == "moved" else Drive([], seed=me, balancers=300)
-        listings = [Listing(f"n{n}", zone=n % 2, started=drive.now if n < 8 else 0) for n in range(40)]
+        listings = [Listing(f"n{n}", zone=n % 2, started_at=drive.now if n < 8 else 0) for n in range(40)]
         changed = move(drive, listings, me)
         assert "limit" in changed or start != "moved"
         until = drive.now + 2 * SECOND
@@ -170,10 +170,10 @@
     """A list whose weights follow the load, freeze or are nonsense sends work where one without them does."""
     seen = []
     for size in (1.0, weight):
-        drive = Drive([Listing(f"b{n}", size=size) for n in range(8)], weights="live")
+        drive = Drive([Listing(f"b{n}", weight=size) for n in range(8)], weights="live")
         picks = []
         for _ in range(30):
-            drive.balancer.update_backends(drive.now, [Listing("b0", size=size)], whole=False, cached=False)
+            drive.balancer.update_backends(drive.now, [Listing("b0", weight=size)], whole=False, cached=False)
             for ho in hand_offs(drive.take()):
                 picks.append(ho.backend)
                 drive.back(ho)
@@ -192,7 +192,9 @@
     colds = {f"b{n}" for n in range(48) if n % 24 < 24 * (cold_home if n < 24 else cold_away)}
     for me in range(200):
         drive = Drive([], balancers=200, me=me, zone=me % 2, tariffs__connection=0.03, seed=me, now=now)
-        listings = [Listing(f"b{n}", zone=n // 24, started=now if f"b{n}" in colds else 0) for n in range(48)]
+        listings = [
+            Listing(f"b{n}", zone=n // 24, started_at=now if f"b{n}" in colds else 0) for n in range(48)
+        ]
         drive.balancer.update_backends(now, listings, whole=True, cached=False)
         for _ in range(6):
             for ho in hand_offs(drive.take()):
@@ -213,7 +215,7 @@
     assert first and max(Counter(first).values()) <= 2
     gone, *left = [b.id for b in drive.balancer.state.subsets[0]]
     others = [id for id in map("b{}".format, range(30)) if id != gone]
-    news = [Listing(id, started=drive.now if id in left else 0) for id in others]
+    news = [Listing(id, started_at=drive.now if id in left else 0) for id in others]
     drive.balancer.update_backends(drive.now, news, whole=True, cached=False)
     drive.now += 5 * SECOND
     assert gone not in [ho.backend for _ in range(20) for ho in hand_offs(drive.take())]
@@ -255,7 +257,9 @@
     risen = {}
     for price in (0.0, dearer):
         drive = Drive([Listing(f"b{n}") for n in range(3)], tariffs__cross_zone=0.0)
-        drive.balancer.retune(drive.now, dict(drive.balancer.state.settings) | {"tariffs.cross_zone": price})
+        drive.balancer.apply_settings(
+            drive.now, dict(drive.balancer.state.settings) | {"tariffs.cross_zone": price}
+        )
         drive.balancer.locality.threshold = 0.3
         for ho in hand_offs(drive.take()):
             drive.back(ho, after=50)
@@ -269,10 +273,10 @@
 )
 def test_probes_go_by_the_fields_and_the_price_in_force(fields, price, asks):
     drive = learned()
-    assert not drive.balancer.state.asks_first
+    assert not drive.balancer.state.probes_first
     told = {"allowed.probes": True, "feedback.fields": fields, "tariffs.probe": price}
-    drive.balancer.retune(drive.now, dict(drive.balancer.state.settings) | told)
+    drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings) | told)
     drive.now += 20 * SECOND
-    drive.balancer.memory.probes = 0.0
+    drive.balancer.loads.probe_credit = 0.0
     probes = [act for _ in range(6) for act in drive.take() if isinstance(act, Probe)]
     assert bool(probes) == asks
--- a/tests/test_policy_files.py
+++ b/tests/test_policy_files.py
@@ -38,4 +38,4 @@
     assert not roots & BARRED
     assert roots <= sys.stdlib_module_names | {"nettledeal"}
     own = {name for name in names if name.startswith("nettledeal.") and "policy" not in name}
-    assert own <= {f"nettledeal.{name}" for name in ("model", "records", "ring", "hash_ring")}
+    assert own <= {f"nettledeal.{name}" for name in ("model", "records", "time_windows", "hash_ring")}
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -196,7 +196,7 @@
 def test_silence_is_a_time_out_and_ends_the_connection():
     far = Far(hush, replies(served()))
     ways = Ways(far.address)
-    assert ways.send(wait=200).outcome is Outcome.OVERDUE
+    assert ways.send(wait=200).outcome is Outcome.TIMED_OUT
     # What comes late on that connection must never pass for the next answer.
     assert ways.send().outcome is Outcome.FINISHED
     assert ways.opened == 2
@@ -312,7 +312,7 @@
     assert until(lambda: exchange.written)
     exchange.drop()
     assert until(lambda: back)
-    assert back[0].outcome is Outcome.RECALLED
+    assert back[0].outcome is Outcome.CANCELLED
     assert until(lambda: not ways.pools.budget.held)
 
 
@@ -426,7 +426,7 @@
     if dropped:
         exchange.drop()
     assert until(lambda: back and seen)
-    assert back[0].outcome is (Outcome.RECALLED if dropped else Outcome.OVERDUE)
+    assert back[0].outcome is (Outcome.CANCELLED if dropped else Outcome.TIMED_OUT)
     assert seen == [ConnectionResetError]
 
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,6 +1,6 @@
 import pytest
 
-from nettledeal.model import Life, Listing
+from nettledeal.model import Lifecycle, Listing
 from nettledeal.net.protocol import backend
 from nettledeal.net.protocol.backend import ResponseReader
 from nettledeal.net.protocol.catalogue import Catalogue, Garbled
@@ -119,17 +119,23 @@
 @pytest.mark.parametrize(
     ("entry", "listing"),
     [
-        (ENTRY + b"}", Listing("s1", zone=1, kind=0, cell=3)),
-        (ENTRY + b',"lifecycle":"draining"}', Listing("s1", Life.DRAINING, zone=1, kind=0, cell=3)),
-        (ENTRY + b',"lifecycle":"gone"}', Listing("s1", Life.GONE, zone=1, kind=0, cell=3)),
-        (b'{"instanceId":"s1","lifecycle":"gone"}', Listing("s1", Life.GONE, zone=-1, kind=-1)),
+        (ENTRY + b"}", Listing("s1", zone=1, machine_type=0, cell=3)),
+        (
+            ENTRY + b',"lifecycle":"draining"}',
+            Listing("s1", Lifecycle.DRAINING, zone=1, machine_type=0, cell=3),
+        ),
+        (ENTRY + b',"lifecycle":"gone"}', Listing("s1", Lifecycle.GONE, zone=1, machine_type=0, cell=3)),
+        (b'{"instanceId":"s1","lifecycle":"gone"}', Listing("s1", Lifecycle.GONE, zone=-1, machine_type=-1)),
         # A word not known yet is no promise that new work is wanted.
-        (ENTRY + b',"lifecycle":"resting"}', Listing("s1", Life.DRAINING, zone=1, kind=0, cell=3)),
+        (
+            ENTRY + b',"lifecycle":"resting"}',
+            Listing("s1", Lifecycle.DRAINING, zone=1, machine_type=0, cell=3),
+        ),
         (
             ENTRY + b',"startedAtMs":1700000000123,"weight":2}',
-            Listing("s1", zone=1, kind=0, cell=3, size=2.0, started=17_000_000_001_230),
+            Listing("s1", zone=1, machine_type=0, cell=3, weight=2.0, started_at=17_000_000_001_230),
         ),
-        (ENTRY + b',"weight":-1,"brand":"new"}', Listing("s1", zone=1, kind=0, cell=3)),
+        (ENTRY + b',"weight":-1,"brand":"new"}', Listing("s1", zone=1, machine_type=0, cell=3)),
         # One that cannot be read must not cost the others.
         (b'{"instanceId":"s1","hostPort":"nowhere"}', None),
         (b'{"instanceId":"s1","hostPort":"h:99999"}', None),
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -431,7 +431,7 @@
     assert until(lambda: agent.rests and not agent.pools.budget.held)
     assert not far.bodies
     b = agent.router.balancer.state.backends["b0"]
-    assert not b.distrust and not b.own
+    assert not b.distrust and not b.in_flight
 
 
 def test_slow_uploads_hold_no_memory_but_their_first_bytes_and_a_window():
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -114,7 +114,7 @@
 
 def drive():
     found = Drive()
-    found.balancer.retune(found.now, BOTH)
+    found.balancer.apply_settings(found.now, BOTH)
     return found
 
 
@@ -137,9 +137,9 @@
 )
 def test_effects_that_change(before, after, again):
     at = drive()
-    at.balancer.retune(at.now, named(("x", before)))
+    at.balancer.apply_settings(at.now, named(("x", before)))
     old = hand_offs(at.take(0))[0]
-    at.balancer.retune(at.now, named(("new", "rerunnable"), ("x", after)))
+    at.balancer.apply_settings(at.now, named(("new", "rerunnable"), ("x", after)))
     assert bool(hand_offs(at.back(old, Outcome.RESET))) is again
     fresh = hand_offs(at.take(index(at, "x")))[0]
     assert bool(hand_offs(at.back(fresh, Outcome.RESET))) is not again
@@ -148,7 +148,7 @@
 def test_attempts_that_change():
     at = drive()
     old = hand_offs(at.take(0))[0]
-    at.balancer.retune(at.now, {**BOTH, "allowed.most_hand_offs": 1})
+    at.balancer.apply_settings(at.now, {**BOTH, "allowed.most_hand_offs": 1})
     assert hand_offs(at.back(old, Outcome.RESET))
     fresh = hand_offs(at.take(0))[0]
     assert not hand_offs(at.back(fresh, Outcome.RESET))
@@ -159,31 +159,33 @@
     for _ in range(30):
         at.back(hand_offs(at.take(1))[0], after=333)
     was = at.balancer.state.categories[1]
-    assert was.seen == 30
-    at.balancer.retune(at.now, named(("other", "exclusive"), ("write", "exclusive"), ("read", "rerunnable")))
-    at.balancer.retune(at.now, named(("write", "exclusive"), ("other", "exclusive")))
+    assert was.samples == 30
+    at.balancer.apply_settings(
+        at.now, named(("other", "exclusive"), ("write", "exclusive"), ("read", "rerunnable"))
+    )
+    at.balancer.apply_settings(at.now, named(("write", "exclusive"), ("other", "exclusive")))
     now = at.balancer.state.categories[0]
-    assert (now.base, now.seen) == (was.base, 30) and now is not was
+    assert (now.base_time, now.samples) == (was.base_time, 30) and now is not was
     assert names(at) == ["write", "other", "read"]
     # Added again it is itself, and it is there once.
-    at.balancer.retune(at.now, BOTH)
+    at.balancer.apply_settings(at.now, BOTH)
     assert names(at) == ["read", "write", "other"]
 
 
 def test_a_category_dropped_with_work_open_is_answered_by_its_own_rules():
     at = drive()
     out = hand_offs(at.take(1))[0]
-    at.balancer.retune(at.now, named(("read", "rerunnable")))
-    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.WRITTEN_OFF]
+    at.balancer.apply_settings(at.now, named(("read", "rerunnable")))
+    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
     # Those that still name it go by them, too.
     out = hand_offs(at.take(index(at, "write")))[0]
-    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.WRITTEN_OFF]
+    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
 
 
 def test_dropped_names_do_not_pile_up():
     at = drive()
     for n in range(100):
-        at.balancer.retune(at.now, named((f"c{n}", "rerunnable")))
+        at.balancer.apply_settings(at.now, named((f"c{n}", "rerunnable")))
     assert len(at.balancer.state.categories) <= 17
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -220,13 +220,13 @@
     ),
     "drains kept": (
         "net/protocol/catalogue.py",
-        '"draining": Life.DRAINING',
-        '"draining": Life.RUNNING',
+        '"draining": Lifecycle.DRAINING',
+        '"draining": Lifecycle.RUNNING',
         LIGHT + '[[fault]]\nkind = "replace"\nat = 0.8\ncount = 2\n',
     ),
     "no cold backend pushed over": (
         "policy/shared_state.py",
-        "return b.started > 0 and",
+        "return b.started_at > 0 and",
         "return False and",
         CROWD.replace("processes = 2", COLD),
     ),
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -4,7 +4,7 @@
 import pytest
 from helpers import SECOND, settings, until
 
-from nettledeal.model import Life, Listing, Outcome
+from nettledeal.model import Lifecycle, Listing, Outcome
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.protocol.backend import Reply
@@ -101,7 +101,7 @@
         ("write", Outcome.FULL, None),
         ("write", Outcome.RESET, HTTPStatus.BAD_GATEWAY),
         ("write", Outcome.ERROR, HTTPStatus.BAD_GATEWAY),
-        ("write", Outcome.OVERDUE, HTTPStatus.BAD_GATEWAY),
+        ("write", Outcome.TIMED_OUT, HTTPStatus.BAD_GATEWAY),
         # Rights that nothing tells are the strictest.
         ("", Outcome.RESET, HTTPStatus.BAD_GATEWAY),
         ("", Outcome.UNREACHABLE, None),
@@ -123,9 +123,9 @@
 @pytest.mark.parametrize(("name", "number"), [("firm", 1), ("1", 1), ("", 0), ("stranger", -1)])
 def test_customers_are_known_by_name_or_number(name, number, monkeypatch):
     desk, seen = Desk(), []
-    sound = desk.router.balancer.take
+    sound = desk.router.balancer.submit
     monkeypatch.setattr(
-        desk.router.balancer, "take", lambda *a, **f: (seen.append(f["customer"]), sound(*a, **f))[1]
+        desk.router.balancer, "submit", lambda *a, **f: (seen.append(f["customer"]), sound(*a, **f))[1]
     )
     request = ClientRequest(b"r", b"GET", b"/", b"", b"", "read", None, False, customer=name)
     desk.router.offer(request, desk.clock.now(), PendingAnswer())
@@ -171,7 +171,7 @@
     assert [other.status for other in held] == [None, None]
 
 
-@pytest.mark.parametrize("call", ["take", "returned"])
+@pytest.mark.parametrize("call", ["submit", "on_attempt_end"])
 def test_a_fault_costs_one_work_item_and_no_more(call, monkeypatch):
     desk = Desk()
     sound = getattr(desk.router.balancer, call)
@@ -182,7 +182,7 @@
 
     monkeypatch.setattr(desk.router.balancer, call, faulty)
     pending, _ = desk.take()
-    if call == "returned":
+    if call == "on_attempt_end":
         desk.out().done(Reply(Outcome.RESET))
     # Nobody knows what has run, so it is no deferral.
     assert desk.answered(pending) is HTTPStatus.BAD_GATEWAY
@@ -222,13 +222,13 @@
 def test_an_answers_time_is_that_of_its_connection_not_of_the_queue(monkeypatch):
     desk = Desk()
     told = []
-    sound = desk.router.balancer.returned
+    sound = desk.router.balancer.on_attempt_end
 
     def returned(now, id, number, outcome, took, **fields):
         told.append(took)
         return sound(now, id, number, outcome, took, **fields)
 
-    monkeypatch.setattr(desk.router.balancer, "returned", returned)
+    monkeypatch.setattr(desk.router.balancer, "on_attempt_end", returned)
     pending, _ = desk.take()
     exchange = desk.out()
     gevent.sleep(0.01)  # longer than it took, by its own account
@@ -271,10 +271,10 @@
     assert pending.by == 5 + 2 * SECOND
 
 
-@pytest.mark.parametrize("life", [Life.DRAINING, Life.GONE])
+@pytest.mark.parametrize("life", [Lifecycle.DRAINING, Lifecycle.GONE])
 def test_backends_that_want_nothing_new_lose_their_pools(life):
     desk = Desk()
-    desk.router.news(CatalogueUpdate(2, False, [Listing("b0", life=life)], {"b0": PLACE}))
+    desk.router.news(CatalogueUpdate(2, False, [Listing("b0", lifecycle=life)], {"b0": PLACE}))
     assert until(lambda: set(desk.ways.pools) == {"b1"})
     for _ in range(2):
         desk.take()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,7 @@
 import pytest
-from helpers import DEFERRED, SECOND, WRITTEN_OFF, Drive, answers, fleet, hand_offs
+from helpers import DEFERRED, FAILED, SECOND, Drive, answers, fleet, hand_offs
 
-from nettledeal.model import Life, Listing, Outcome
+from nettledeal.model import Lifecycle, Listing, Outcome
 
 RERUN, EXCLUSIVE, ZONE_TICKET, TICKET = range(4)
 
@@ -10,16 +10,16 @@
     ("category", "outcome", "again", "verdict"),
     [
         (RERUN, Outcome.ERROR, True, DEFERRED),
-        (RERUN, Outcome.OVERDUE, True, DEFERRED),
+        (RERUN, Outcome.TIMED_OUT, True, DEFERRED),
         (RERUN, Outcome.FULL, True, DEFERRED),
-        (EXCLUSIVE, Outcome.ERROR, False, WRITTEN_OFF),
-        (EXCLUSIVE, Outcome.OVERDUE, False, WRITTEN_OFF),
-        (EXCLUSIVE, Outcome.RESET, False, WRITTEN_OFF),
-        (EXCLUSIVE, Outcome.RECALLED, False, WRITTEN_OFF),
+        (EXCLUSIVE, Outcome.ERROR, False, FAILED),
+        (EXCLUSIVE, Outcome.TIMED_OUT, False, FAILED),
+        (EXCLUSIVE, Outcome.RESET, False, FAILED),
+        (EXCLUSIVE, Outcome.CANCELLED, False, FAILED),
         (EXCLUSIVE, Outcome.FULL, True, DEFERRED),
         (EXCLUSIVE, Outcome.UNREACHABLE, True, DEFERRED),
         (EXCLUSIVE, Outcome.UNSENT, True, DEFERRED),
-        (ZONE_TICKET, Outcome.ERROR, True, WRITTEN_OFF),
+        (ZONE_TICKET, Outcome.ERROR, True, FAILED),
         (ZONE_TICKET, Outcome.UNREACHABLE, True, DEFERRED),
         (TICKET, Outcome.RESET, True, DEFERRED),
     ],
@@ -44,7 +44,7 @@
     (first,) = hand_offs(drive.take(ZONE_TICKET))
     (second,) = hand_offs(drive.back(first, Outcome.ERROR, after=20))
     assert second.backend == first.backend  # the only one in its zone
-    assert answers(drive.back(second, Outcome.ERROR, after=5000))[0].verdict is WRITTEN_OFF
+    assert answers(drive.back(second, Outcome.ERROR, after=5000))[0].verdict is FAILED
 
 
 @pytest.mark.parametrize(
@@ -66,17 +66,19 @@
     assert (first.begin_by, second.begin_by) == (None, at + 5000 if ends else None)
 
 
-@pytest.mark.parametrize("life", [Life.DRAINING, Life.GONE])
+@pytest.mark.parametrize("life", [Lifecycle.DRAINING, Lifecycle.GONE])
 def test_nothing_to_a_backend_told_to_drain(life):
     drive = Drive(fleet((0, 0)))
-    drive.balancer.update_backends(drive.now, [Listing("b0", life=life)], whole=False, cached=False)
+    drive.balancer.update_backends(drive.now, [Listing("b0", lifecycle=life)], whole=False, cached=False)
     for _ in range(20):
         (ho,) = hand_offs(drive.take())
         assert ho.backend == "b1"
         drive.back(ho)
 
 
-@pytest.mark.parametrize("listings", [[], fleet((0, 0), life=Life.GONE), fleet((0,), life=Life.DRAINING)])
+@pytest.mark.parametrize(
+    "listings", [[], fleet((0, 0), lifecycle=Lifecycle.GONE), fleet((0,), lifecycle=Lifecycle.DRAINING)]
+)
 def test_no_backend_defers_at_once(listings):
     (answer,) = Drive(listings).take(EXCLUSIVE)
     assert answer.verdict is DEFERRED
@@ -93,12 +95,12 @@
 def test_category_out_of_range_is_exclusive():
     drive = Drive()
     (ho,) = hand_offs(drive.take(99))
-    assert [a.verdict for a in answers(drive.back(ho, Outcome.ERROR, after=20))] == [WRITTEN_OFF]
+    assert [a.verdict for a in answers(drive.back(ho, Outcome.ERROR, after=20))] == [FAILED]
 
 
 def test_cold_budget_holds_against_a_burst():
     now = 100_000
-    drive = Drive([Listing("b0", started=now)], now=now)
+    drive = Drive([Listing("b0", started_at=now)], now=now)
     sent = sum(bool(hand_offs(drive.take())) for _ in range(50))
     assert 1 <= sent <= 3
 
@@ -108,19 +110,19 @@
     (ho,) = hand_offs(drive.take())
     for _ in range(40):
         drive.now += 200
-        assert not hand_offs(drive.balancer.wake(drive.now).acts)
+        assert not hand_offs(drive.balancer.wake(drive.now).actions)
     assert drive.back(ho, after=1) == []
 
 
 def test_unknown_hand_offs_and_work_items_are_ignored():
     drive = Drive()
-    step = drive.balancer.returned(drive.now, 77, 0, Outcome.ERROR, 5, closed=False, report={})
-    assert step.acts == []
-    assert drive.balancer.withdrawn(drive.now, 77).acts == []
+    step = drive.balancer.on_attempt_end(drive.now, 77, 0, Outcome.ERROR, 5, closed=False, report={})
+    assert step.actions == []
+    assert drive.balancer.on_withdrawn(drive.now, 77).actions == []
 
 
 def test_list_is_asked_for_again_after_a_failure():
     drive = Drive(discovery="on_request", now=100_000)
-    step = drive.balancer.discovery_failed(drive.now)
-    assert drive.now < step.wake < drive.now + 10 * SECOND
-    assert drive.balancer.wake(step.wake).acts
+    step = drive.balancer.on_discovery_failed(drive.now)
+    assert drive.now < step.wake_at < drive.now + 10 * SECOND
+    assert drive.balancer.wake(step.wake_at).actions
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -5,10 +5,10 @@
 import pytest
 from helpers import SECOND, Drive, answers, fleet, hand_offs, settings
 
-from nettledeal.model import Life, Listing, Outcome
-from nettledeal.policy.admission import CROWD
+from nettledeal.model import Lifecycle, Listing, Outcome
+from nettledeal.policy.admission import OVERLOAD
 from nettledeal.policy.balancer import Balancer
-from nettledeal.policy.shared_state import SAMPLE
+from nettledeal.policy.shared_state import SAMPLE_SIZE
 
 FULL_FLEET = fleet([0] * 20)
 
@@ -17,10 +17,10 @@
 def test_backends_looked_at_do_not_grow_with_the_fleet(size, monkeypatch):
     drive = Drive([Listing(f"b{n}", zone=n % 3) for n in range(size)], balancers=500)
     looked = set()
-    view = drive.balancer.memory.view
-    monkeypatch.setattr(drive.balancer.memory, "view", lambda b, now: looked.add(b.id) or view(b, now))
+    view = drive.balancer.loads.cost
+    monkeypatch.setattr(drive.balancer.loads, "cost", lambda b, now: looked.add(b.id) or view(b, now))
     assert hand_offs(drive.take())
-    assert 2 <= len(looked) <= 2 * SAMPLE
+    assert 2 <= len(looked) <= 2 * SAMPLE_SIZE
 
 
 def test_agents_that_know_equally_little_spread_out():
@@ -42,23 +42,23 @@
             drive.now += SECOND // 2
             while waiting and waiting[0][0] <= drive.now:
                 ho = waiting.pop(0)[1]
-                drive.balancer.returned(
+                drive.balancer.on_attempt_end(
                     drive.now, ho.work_item, 0, Outcome.FINISHED, 20_000, closed=True, report={}
                 )
             waiting += [(drive.now + 20_000, ho) for ho in hand_offs(drive.take(0, 4 * SECOND))]
             out += len(waiting) / 30 if turn >= 30 else 0
-    assert 0.2 * len(FULL_FLEET) <= out <= 2 * CROWD * len(FULL_FLEET)
+    assert 0.2 * len(FULL_FLEET) <= out <= 2 * OVERLOAD * len(FULL_FLEET)
 
 
 def test_a_backend_never_used_is_guessed_by_its_kind():
-    drive = Drive([Listing(f"b{n}", kind=n % 2) for n in range(24)], balancers=100)
+    drive = Drive([Listing(f"b{n}", machine_type=n % 2) for n in range(24)], balancers=100)
     for _ in range(150):
         for ho in hand_offs(drive.take()):
             drive.back(ho, after=2400 if int(ho.backend[1:]) % 2 else 800)
-    kinds = [Listing("n0"), Listing("n1", kind=1)]
+    kinds = [Listing("n0"), Listing("n1", machine_type=1)]
     drive.balancer.update_backends(drive.now, kinds, whole=False, cached=False)
-    memory, backends = drive.balancer.memory, drive.balancer.state.backends
-    assert memory.view(backends["n1"], drive.now) > 1.5 * memory.view(backends["n0"], drive.now)
+    loads, backends = drive.balancer.loads, drive.balancer.state.backends
+    assert loads.cost(backends["n1"], drive.now) > 1.5 * loads.cost(backends["n0"], drive.now)
 
 
 @pytest.mark.parametrize(("age", "sharp"), [(0, True), (30 * SECOND, False)])
@@ -67,13 +67,13 @@
     backends = list(drive.balancer.state.backends.values())
     for b in backends:
         for _ in range(20):
-            drive.balancer.probed(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 3 * (b.id != "b0")})
+            drive.balancer.on_probe(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 3 * (b.id != "b0")})
     drive.now += age
     picks = Counter()
     for _ in range(200):
         for ho in hand_offs(drive.take()):
             picks[ho.backend] += 1
-            drive.back(ho, Outcome.RECALLED, after=0, closed=True)
+            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
     assert (picks["b0"] > 0.5 * sum(picks.values())) == sharp
 
 
@@ -85,7 +85,7 @@
     balancer = Balancer(1, plain, 0)
     balancer.update_backends(0, fleet(), whole=True, cached=False)
     for n in range(30):
-        assert balancer.take(n * SECOND, n, 0, (n + 2) * SECOND).acts
+        assert balancer.submit(n * SECOND, n, 0, (n + 2) * SECOND).actions
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
         ([Listing(f"b{n}", zone=n % 4) for n in range(5000)], True),
         ([], False),
         ([Listing("b0")] * 50, True),
-        ([Listing("b0"), Listing("b0", life=Life.GONE)], False),
+        ([Listing("b0"), Listing("b0", lifecycle=Lifecycle.GONE)], False),
         (fleet((1, 2, 3)), True),
     ],
 )
@@ -119,7 +119,7 @@
         drive.back(ho)
     drive.now += 300 * SECOND
     acts = [act for _ in range(50) for act in drive.take()]
-    assert 1 <= len(hand_offs(acts)) <= CROWD
+    assert 1 <= len(hand_offs(acts)) <= OVERLOAD
     assert len(hand_offs(acts)) + len(answers(acts)) == 50
 
 
@@ -127,13 +127,13 @@
 def test_cold_backends_get_their_share_over_500_agents(warm):
     """Many agents that see idle cold backends and long queues at all others: the sum stays under the push."""
     now, agents = 100_000, 500
-    listings = [Listing(f"w{n}") for n in range(warm)] + [Listing(f"c{n}", started=now) for n in range(10)]
+    listings = [Listing(f"w{n}") for n in range(warm)] + [Listing(f"c{n}", started_at=now) for n in range(10)]
     seen, total = Counter(), 0
     for seed in range(agents):
         drive = Drive(listings, seed=seed, balancers=agents, now=now)
         for name, queue in [(f"w{n}", 40) for n in range(warm)] + [(f"c{n}", 0) for n in range(10)]:
             for _ in range(12):
-                drive.balancer.probed(now, name, Outcome.FINISHED, 3, {"outstanding": queue})
+                drive.balancer.on_probe(now, name, Outcome.FINISHED, 3, {"outstanding": queue})
         for ho in hand_offs(drive.take()):
             seen[ho.backend] += 1
             total += 1
@@ -162,7 +162,7 @@
 def test_who_defers_everything_tries_again_after_a_while(wait, sent):
     drive = Drive()
     drive.back(hand_offs(drive.take())[0])
-    drive.balancer.state.categories[0].base = 30_000.0
+    drive.balancer.state.categories[0].base_time = 30_000.0
     drive.now += wait
     assert bool(hand_offs(drive.take())) == sent
 
@@ -178,11 +178,11 @@
     usual = {}
     for after in (500, 8000):
         drive = Drive()
-        start = drive.balancer.state.guess(drive.balancer.state.categories[0])
+        start = drive.balancer.state.guess_base_time(drive.balancer.state.categories[0])
         for _ in range(5):
             drive.back(hand_offs(drive.take(0, 20_000))[0], after=after)
             drive.now += 3 * SECOND
-        usual[after] = drive.balancer.state.categories[0].base
+        usual[after] = drive.balancer.state.categories[0].base_time
     assert usual[500] < 0.6 * start
     assert usual[8000] < 3 * start
 
@@ -195,34 +195,34 @@
     warm, cold = Counter(), 0
     for seed in range(60):
         now = 100_000
-        listings = [*(Listing(f"w{n}") for n in range(7)), Listing("c", started=now - age * SECOND)]
+        listings = [*(Listing(f"w{n}") for n in range(7)), Listing("c", started_at=now - age * SECOND)]
         listings += [Listing(f"a{n}", zone=1) for n in range(away)]
         drive = Drive(listings, seed=seed, balancers=300, now=now)
         for n in range(7):
-            drive.balancer.probed(now, f"w{n}", Outcome.FINISHED, 3, {"outstanding": 0})
+            drive.balancer.on_probe(now, f"w{n}", Outcome.FINISHED, 3, {"outstanding": 0})
         for _ in range(20):
             for ho in hand_offs(drive.take()):
                 warm[ho.backend] += ho.backend != "c"
                 cold += ho.backend == "c"
-                drive.back(ho, Outcome.RECALLED, after=0, closed=True)
+                drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
     usual = sum(warm.values()) / 7
     assert least * usual < cold < most * usual
 
 
 def test_the_pace_of_a_cold_backend_is_learned_beside_its_coldness():
-    drive = Drive([Listing("c", started=99_000), Listing("w")], rules__warm_within=60 * SECOND)
+    drive = Drive([Listing("c", started_at=99_000), Listing("w")], rules__warm_within=60 * SECOND)
     b = drive.balancer.state.backends["c"]
     for _ in range(40):
         for ho in hand_offs(drive.take()):
             slow = drive.balancer.health.capacity(b, drive.now) if ho.backend == "c" else 1.0
             drive.back(ho, after=int(1000 / slow))
-    assert abs(drive.balancer.memory._faded(b, drive.now)) < 0.3
+    assert abs(drive.balancer.loads._log_slowness(b, drive.now)) < 0.3
 
 
 def test_a_cold_backend_takes_draws_that_are_its_own_by_a_key():
     """Clipped as one drawn for any key, the home of some keys would get next to none of them."""
     now, sent, named = 100_000, 0, 0
-    listings = [Listing(f"b{n}", started=0 if n else now - 4 * SECOND) for n in range(40)]
+    listings = [Listing(f"b{n}", started_at=0 if n else now - 4 * SECOND) for n in range(40)]
     for seed in range(20):
         drive = Drive(listings, seed=seed, balancers=20, now=now, family_info__warm_keys=True)
         affinity = drive.balancer.key_affinity
@@ -233,7 +233,7 @@
             named += key in mine
             for ho in hand_offs(drive.take(key=key)):
                 sent += key in mine and ho.backend == "b0"
-                drive.back(ho, Outcome.RECALLED, after=0, closed=True)
+                drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
     assert named == 120
     assert 0.35 * named < sent < 0.95 * named
 
@@ -241,37 +241,37 @@
 @pytest.mark.parametrize(("belief", "sharp"), [(0.5, True), (0.05, False)])
 def test_the_draw_is_no_sharper_than_reports_have_foretold(belief, sharp):
     drive = Drive(fleet([0] * 10))
-    memory = drive.balancer.memory
-    memory.squares, memory.products = 1e6, belief * 1e6
+    loads = drive.balancer.loads
+    loads.squares, loads.products = 1e6, belief * 1e6
     for b in drive.balancer.state.backends.values():
-        drive.balancer.probed(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 0})
-        assert (memory._power(b, drive.now, 800) > 11) == sharp
-        assert memory._power(b, drive.now + 60 * SECOND, 800) < 3.1
+        drive.balancer.on_probe(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 0})
+        assert (loads._sharpness(b, drive.now, 800) > 11) == sharp
+        assert loads._sharpness(b, drive.now + 60 * SECOND, 800) < 3.1
 
 
 @pytest.mark.parametrize(("took", "trusted"), [(800, False), (8_000, True)])
 def test_a_reading_is_trusted_for_some_times_of_what_a_work_item_takes(took, trusted):
     drive = Drive(fleet([0] * 10))
-    memory = drive.balancer.memory
-    memory.squares = memory.products = 1e6
-    drive.balancer.probed(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0})
+    loads = drive.balancer.loads
+    loads.squares = loads.products = 1e6
+    drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0})
     b = drive.balancer.state.backends["b0"]
     # A second and a half later: many queues' lives where work is short, a part of one where it is long.
-    assert (memory._power(b, drive.now + 15_000, took) > 8) is trusted
+    assert (loads._sharpness(b, drive.now + 15_000, took) > 8) is trusted
 
 
 @pytest.mark.parametrize(("slower", "kept"), [(0.8, True), (1.6, False)])
 def test_a_key_stays_at_home_while_that_is_less_than_the_work_it_saves(slower, kept):
     drive = Drive(fleet([0] * 10), family_info__warm_keys=True)
     home = drive.balancer.key_affinity.preferred("k")[0]
-    home.pace, home.paced_at, home.heard_at = slower, drive.now, drive.now
+    home.log_slowness, home.slowness_at, home.answered_at = slower, drive.now, drive.now
     named, sent = 0, 0
     for key in map("k{}".format, range(400)):
         mine = drive.balancer.key_affinity.preferred(key)[0] is home
         named += mine
         for ho in hand_offs(drive.take(key=key)):
             sent += mine and ho.backend == home.id
-            drive.back(ho, Outcome.RECALLED, after=0, closed=True)
+            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
     assert (sent > 0.5 * named) == kept
 
 
@@ -292,14 +292,14 @@
 def test_a_cold_backend_that_answers_sooner_than_assumed_bears_more_to_some_degree(sooner, more):
     """Others look much worse, so that it gets all of its share: seven tenths of the push at what it bears."""
     sent, now, turns = 0, 100_000, 1500
-    listings = [*fleet([0] * 7), Listing("c", started=now - 4 * SECOND)]
+    listings = [*fleet([0] * 7), Listing("c", started_at=now - 4 * SECOND)]
     drive = Drive(listings, balancers=300, now=now)
     for b in drive.balancer.state.backends.values():
-        b.pace, b.paced_at = (-sooner if b.id == "c" else 2.0), now
+        b.log_slowness, b.slowness_at = (-sooner if b.id == "c" else 2.0), now
     for _ in range(turns):
         for ho in hand_offs(drive.take()):
             sent += ho.backend == "c"
-            drive.back(ho, Outcome.RECALLED, after=0, closed=True)
+            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
     told = drive.balancer.health.capacity(drive.balancer.state.backends["c"], now)
     assert sent / turns == pytest.approx(0.7 * 3.0 * more * told / 8, rel=0.08)
 
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -7,7 +7,7 @@
 import pytest
 
 from nettledeal import units
-from nettledeal.model import Answer, HandOff, Verdict
+from nettledeal.model import Answer, SendAttempt, Verdict
 from nettledeal.sim import codec
 from nettledeal.sim import host as host_module
 from nettledeal.sim.host import main
@@ -81,7 +81,7 @@
     def broken(*_args, **_fields):
         raise RuntimeError("no such luck")
 
-    monkeypatch.setattr(host_module.Balancer, "take", broken)
+    monkeypatch.setattr(host_module.Balancer, "submit", broken)
     status, out, err = play(START + ASK + "eob\n")
     assert status == 0
     assert "bail_out i=1 message=RuntimeError: no such luck" in out
@@ -107,10 +107,10 @@
 @pytest.mark.parametrize(
     ("act", "line"),
     [
-        (HandOff(9, 0, "a:1", 25), "relay i=2 txn=9 give_up_after=2500000 backend=a:1"),
+        (SendAttempt(9, 0, "a:1", 25), "relay i=2 txn=9 give_up_after=2500000 backend=a:1"),
         (Answer(9, Verdict.DEFERRED, 10), "reject i=2 txn=9 retry_after=1000000"),
         (Answer(9, Verdict.DEFERRED), "reject i=2 txn=9"),
-        (Answer(9, Verdict.WRITTEN_OFF), "finish_error i=2 txn=9"),
+        (Answer(9, Verdict.FAILED), "finish_error i=2 txn=9"),
     ],
 )
 def test_lines(act, line):
@@ -118,7 +118,7 @@
 
 
 def test_clock_rounds_up_and_expiry_down():
-    assert (units.up(100_001), units.down(199_999)) == (2, 1)
+    assert (units.round_up(100_001), units.round_down(199_999)) == (2, 1)
 
 
 @pytest.mark.alone
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,8 +7,8 @@
 from test_decisions import spread
 
 from nettledeal.learned_state import set_fleet_size
-from nettledeal.model import Life, Listing, Outcome
-from nettledeal.policy.admission import CROWD
+from nettledeal.model import Lifecycle, Listing, Outcome
+from nettledeal.policy.admission import OVERLOAD
 from nettledeal.policy.shared_state import SUBSET
 
 FLEET = fleet([0] * 30 + [1] * 30)
@@ -37,10 +37,10 @@
         for ho in hand_offs(drive.take()):
             waiting.append((drive.now + SECOND // 2, ho))
             seen.add(ho.backend)
-        peaks.update({b.id: max(0, len(b.own) - peaks[b.id]) for b in drive.balancer.state.near})
+        peaks.update({b.id: max(0, len(b.in_flight) - peaks[b.id]) for b in drive.balancer.state.near})
     assert (len(seen) == SUBSET) is few
     # It had them crowd its two, and the rest deferred, beside ten that had nothing to do.
-    assert max(peaks.values()) <= 2 * CROWD
+    assert max(peaks.values()) <= 2 * OVERLOAD
 
 
 def test_the_parts_of_many_agents_cover_the_fleet_evenly():
@@ -58,7 +58,9 @@
     drive = kept(me=3)
     before = {b.id for b in drive.balancer.state.subsets[0]}
     gone = next(iter(before))
-    drive.balancer.update_backends(drive.now, [Listing(gone, life=Life.DRAINING)], whole=False, cached=False)
+    drive.balancer.update_backends(
+        drive.now, [Listing(gone, lifecycle=Lifecycle.DRAINING)], whole=False, cached=False
+    )
     after = {b.id for b in drive.balancer.state.subsets[0]}
     assert gone not in after
     assert len(after) == SUBSET
@@ -68,7 +70,7 @@
 def test_one_more_for_each_cold_one():
     drive = kept(me=3)
     first, *_ = drive.balancer.state.subsets[0]
-    started = Listing(first.id, started=drive.now)
+    started = Listing(first.id, started_at=drive.now)
     drive.balancer.update_backends(drive.now, [started], whole=False, cached=False)
     assert len(drive.balancer.state.subsets[0]) == SUBSET + 1
 
@@ -115,7 +117,9 @@
 def test_what_is_dealt_comes_first_in_an_agents_own_order():
     drive = Drive(fleet([0] * 12), tariffs__connection=0.03, me=3)
     usual = [b.id for b in drive.balancer.state.near]
-    drive.balancer.retune(drive.now, {**drive.balancer.state.settings, "dealt": f"{usual[9]},{usual[7]}"})
+    drive.balancer.apply_settings(
+        drive.now, {**drive.balancer.state.settings, "dealt": f"{usual[9]},{usual[7]}"}
+    )
     assert {b.id for b in drive.balancer.state.subsets[0]} == {usual[9], usual[7]}
     rest = [id for id in usual if id not in (usual[9], usual[7])]
     assert [b.id for b in drive.balancer.state.near][2:] == rest
@@ -125,7 +129,7 @@
     drive = Drive(fleet([0] * 12), balancers=50)
     before = drive.balancer.admission.limit
     set_fleet_size(drive.balancer, drive.now, 100, 7, ())
-    assert drive.balancer.state.agents == 100 and drive.balancer.state.me == 7
+    assert drive.balancer.state.agent_count == 100 and drive.balancer.state.index == 7
     assert drive.balancer.admission.limit == before / 2
     set_fleet_size(drive.balancer, drive.now, 25, 7, ())
     assert drive.balancer.admission.limit == 2 * before
