--- a/experiments/ablation.py
+++ b/experiments/ablation.py
@@ -42,8 +42,8 @@
         ),
     ),
     "threshold learned": (
-        Switch(f"{SELECTION}/threshold.py", "FALL = 0.90\n", "FALL = 1.0\n"),
-        Switch(f"{SELECTION}/threshold.py", "RISE = 1.005\n", "RISE = 1.0\n"),
+        Switch(f"{SELECTION}/home_threshold.py", "DECREASE_FACTOR = 0.90\n", "DECREASE_FACTOR = 1.0\n"),
+        Switch(f"{SELECTION}/home_threshold.py", "INCREASE_FACTOR = 1.005\n", "INCREASE_FACTOR = 1.0\n"),
     ),
     "own sends added": (
         Switch(
@@ -52,28 +52,28 @@
             "return record.remembered_queue(now)",
         ),
     ),
-    "sharpness": (_tuning("sharpness", "4.0", "1.0"),),
-    "reading part": (_tuning("reading_share", "2 / 3", "1.0"),),
+    "sharpness": (_tuning("queue_weight_exponent", "4.0", "1.0"),),
+    "reading part": (_tuning("long_prompt_backend_share", "2 / 3", "1.0"),),
     "affinity": (
         Switch(
             f"{SELECTION}/model.py",
-            "    affinity_least_tokens: int = 256\n",
-            "    affinity_least_tokens: int = 1 << 40\n",
+            "    affinity_min_tokens: int = 256\n",
+            "    affinity_min_tokens: int = 1 << 40\n",
         ),
     ),
-    "distrust in the draw": (_tuning("distrust_power", "6.0", "0.0"),),
+    "distrust in the draw": (_tuning("failure_weight_exponent", "6.0", "0.0"),),
     "ejection": (
         Switch(
-            f"{SELECTION}/attempt_memory.py",
-            "elif record.health.failed(now) and self._may_eject(record, now):",
-            "elif record.health.failed(now) and False:",
+            f"{SELECTION}/attempt_tracker.py",
+            "elif record.health.record_failure(now) and self._may_eject(record, now):",
+            "elif record.health.record_failure(now) and False:",
         ),
     ),
-    "failures told": (_tuning("reported_failure", "1.0", "0.0"),),
+    "failures told": (_tuning("reported_failure_weight", "1.0", "0.0"),),
     "silence checks": (
         Switch(
             "dataplane/silence.py",
-            "        self._wait(self.selector.silence_s(self.attempt))\n",
+            "        self._wait(self.selector.connect_check_delay_s(self.attempt))\n",
             "        self._wait(None)\n",
         ),
         Switch(
@@ -82,8 +82,8 @@
             "        self._wait(None)\n",
         ),
     ),
-    "long rests": (_tuning("calm_rest_s", "6.0", "0.5"),),
-    "connected first": (_tuning("connecting_queue", "1.5", "0.0"),),
+    "long rests": (_tuning("max_idle_s", "6.0", "0.5"),),
+    "connected first": (_tuning("new_connection_queue_penalty", "1.5", "0.0"),),
     "loads told by backends": (
         Switch(
             "dataplane/forwarding.py",
@@ -98,20 +98,20 @@
             "            if False:\n",
         ),
     ),
-    "queues told": (_tuning("crowded_queue", "3.0", "1e9"),),
+    "queues told": (_tuning("min_reported_queue", "3.0", "1e9"),),
     "replaced backends": (
-        Switch(f"{SELECTION}/replaced.py", "LEAST_REPLACED = 2\n", "LEAST_REPLACED = 1 << 40\n"),
+        Switch(f"{SELECTION}/replaced_backends.py", "MIN_REPLACED = 2\n", "MIN_REPLACED = 1 << 40\n"),
         Switch(
-            f"{SELECTION}/attempt_memory.py",
+            f"{SELECTION}/attempt_tracker.py",
             "            self.reports.add_replaced(record.backend.id)\n",
             "",
         ),
     ),
     "zones in doubt": (
         Switch(
-            f"{SELECTION}/knowledge.py",
-            "self.doubted = frozenset(zones) - {self.placement.zone}",
-            "self.doubted = frozenset()",
+            f"{SELECTION}/selection_state.py",
+            "self.suspect_zones = frozenset(zones) - {self.placement.zone}",
+            "self.suspect_zones = frozenset()",
         ),
     ),
 }
--- a/src/nettledeal/dataplane/agent.py
+++ b/src/nettledeal/dataplane/agent.py
@@ -59,7 +59,7 @@
         self.selector.warmup.lease = self.lease
         self.stock = MemoryPool(int(settings.limits.memory_mb * MEBIBYTE * MESSAGE_MEMORY_SHARE))
         self.connections = BackendConnections(self.stock)
-        self.selector.placement.connected = self._connected
+        self.selector.placement.has_idle_connection = self._has_idle_connection
         self.forwarding = Forwarding(self.selector, self.budget, self.connections, self.random)
         max_clients = int((settings.limits.max_fds - RESERVED_FDS) * CLIENT_FDS_SHARE)
         self.ingress = Ingress(self.forwarding, self.stock, max(16, max_clients))
@@ -160,7 +160,7 @@
 
     def take_report(self, report: BackendReport) -> None:
         """Take what another agent of the zone has just found at backends."""
-        self.selector.reported(report, time.monotonic())
+        self.selector.apply_report(report, time.monotonic())
 
     def set_data_plane_members(self, count: int, names: Collection[str]) -> None:
         """Take the live data-plane members, this process included."""
@@ -170,7 +170,7 @@
 
     def set_doubted_zones(self, zones: Collection[str]) -> None:
         """Take the zones that may be lost as a whole, by the members that are."""
-        self.selector.set_doubted(zones)
+        self.selector.set_suspect_zones(zones)
 
     def stop(self) -> None:
         """Leave service in order; returns once every request has its answer, or the grace is nearly over."""
@@ -183,8 +183,8 @@
         if self._sweeping is not None:
             self._sweeping.kill()
 
-    def _connected(self, backend_id: str, now: float) -> bool:
-        return self.connections.rests(backend_id, now, self.selector.most_rest_s(backend_id, now))
+    def _has_idle_connection(self, backend_id: str, now: float) -> bool:
+        return self.connections.rests(backend_id, now, self.selector.max_idle_s(backend_id, now))
 
     def _update_connections(self) -> None:
         self._connection_terms = self._terms()
@@ -218,8 +218,8 @@
             gevent.sleep(SWEEP_INTERVAL_S)
             now = time.monotonic()
             self.connections.close_idle(now)
-            self.selector.report_silent(now)
-            for backend_id in self.selector.unreachable(now):
+            self.selector.report_silent_backends(now)
+            for backend_id in self.selector.unreachable_backends(now):
                 if backend_id not in self._probed:
                     self._probed.add(backend_id)
                     gevent.spawn(self._probe, backend_id)
@@ -229,7 +229,7 @@
         pool = self.connections.pool(backend_id)
         try:
             if pool is not None and pool.try_connect(time.monotonic()):
-                self.selector.reached(backend_id, time.monotonic())
+                self.selector.record_reachable(backend_id, time.monotonic())
         finally:
             self._probed.discard(backend_id)
 
--- a/src/nettledeal/dataplane/attempt_end.py
+++ b/src/nettledeal/dataplane/attempt_end.py
@@ -42,7 +42,7 @@
     """
     if end is AttemptEnd.NOT_EXECUTED:
         gone = answer.status == HTTPStatus.MISDIRECTED_REQUEST and not names_version
-        return AttemptOutcome.GONE if gone else AttemptOutcome.REFUSED
+        return AttemptOutcome.REPLACED if gone else AttemptOutcome.REFUSED
     if end is AttemptEnd.ANSWERED and answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return AttemptOutcome.COMPLETED
     return AttemptOutcome.FAILED
--- a/src/nettledeal/dataplane/forwarding.py
+++ b/src/nettledeal/dataplane/forwarding.py
@@ -102,7 +102,7 @@
         self.deadline = request.received_at + request.deadline_s(target.timeout_s)
         self.call: CallDescription = describe_call(request, target, self.service, len(request.message.body))
         self.arrivals = 0
-        self.unreachable = 0
+        self.attempts_not_sent = 0
         self.may_have_run = False
         self.client_left = False
         self.retry_after_s = DEFAULT_RETRY_AFTER_S
@@ -149,7 +149,7 @@
 
     def _may_attempt(self, now: float) -> bool:
         """Whether one more attempt is within the bound of the route and the budget, which pays for it."""
-        if self.unreachable >= MOST_UNREACHABLE:
+        if self.attempts_not_sent >= MOST_UNREACHABLE:
             return False
         if self.arrivals == 0:
             return True
@@ -162,7 +162,7 @@
 
     def _attempt(self, backend: Backend, now: float) -> AttemptEnd:
         selector = self.forwarding.selector
-        attempt = selector.started(backend.id, self.call, now)
+        attempt = selector.start_attempt(backend.id, self.call, now)
         if self.request.separated is not None:
             self.forwarding.tenants.attempted(self.request.separated, attempt)
         outcome = AttemptOutcome.FAILED
@@ -179,7 +179,9 @@
                 return self._not_sent()
             silence.expect_head()
             answer.read_head()
-            selector.first_event(attempt, time.monotonic(), read_server_load(answer.header(LOAD_HEADER)))
+            selector.record_first_event(
+                attempt, time.monotonic(), read_server_load(answer.header(LOAD_HEADER))
+            )
             silence.expect_events(self.target.resumable)
             if answer.is_event_stream:
                 answer.heard = StreamPauses(selector, attempt).heard
@@ -201,7 +203,7 @@
             return AttemptEnd.BROKEN
         finally:
             self._disconnect()
-            selector.finished(attempt, outcome, time.monotonic())
+            selector.finish_attempt(attempt, outcome, time.monotonic())
 
     def _connect(self, backend_id: str, now: float) -> BackendConnection:
         """A connection to the backend. Raises ServingError where none can be had, and ClientLeft."""
@@ -211,7 +213,7 @@
         try:
             rest_s = MOST_IDLE_S
             if not self.target.repeatable:
-                rest_s = self.forwarding.selector.most_rest_s(backend_id, now)
+                rest_s = self.forwarding.selector.max_idle_s(backend_id, now)
             connection = pool.acquire(now, self.deadline - now, rest_s)
         except ServingError:
             if self.client_left:
@@ -223,7 +225,7 @@
         return connection
 
     def _not_sent(self) -> AttemptEnd:
-        self.unreachable += 1
+        self.attempts_not_sent += 1
         if self.arrivals:
             self.forwarding.budget.give_back(self.service)
         return AttemptEnd.NOT_SENT
--- a/src/nettledeal/dataplane/selection/__init__.py
+++ b/src/nettledeal/dataplane/selection/__init__.py
@@ -1,5 +1,6 @@
-"""The selection of a backend for each attempt; pure, with time and randomness passed in."""
+"""Selection of a backend for each attempt. Pure logic: time and randomness are passed in."""
 
+from nettledeal.dataplane.selection.backend_reports import BackendReport
 from nettledeal.dataplane.selection.model import (
     Attempt,
     AttemptOutcome,
@@ -12,7 +13,6 @@
     Tuning,
     WarmupBounds,
 )
-from nettledeal.dataplane.selection.reports import BackendReport
 from nettledeal.dataplane.selection.selector import Selector
 
 __all__ = [
--- a/src/nettledeal/dataplane/selection/health.py
+++ b/src/nettledeal/dataplane/selection/health.py
@@ -1,4 +1,4 @@
-"""Distrust of a backend by how its attempts end (passive outlier ejection)."""
+"""Passive outlier ejection: tracks how the attempts at one backend end."""
 
 from __future__ import annotations
 
@@ -7,107 +7,107 @@
 
 from nettledeal.dataplane.selection.model import Tuning
 
-# Attempts taken as successful before there were any.
+# Successes assumed before any attempt, so that the first failure does not dominate.
 PRIOR_SUCCESSES = 2.0
 
 
-class Trust(Enum):
+class HealthState(Enum):
     """Whether a backend may be chosen."""
 
-    TRUSTED = auto()
+    HEALTHY = auto()
     EJECTED = auto()
-    PROBING = auto()  # the ejection has run out: one request at a time until one succeeds
-    UNREACHABLE = auto()  # nothing goes there until a connection comes up
+    PROBING = auto()  # the ejection has expired: one request at a time until one succeeds
+    UNREACHABLE = auto()  # gets no requests until a connection can be opened
 
 
 class Health:
-    """Failures of one backend, fading with time, and the ejections that follow from them."""
+    """Success and failure counts of one backend, decaying over time, and the resulting ejections."""
 
     def __init__(self, tuning: Tuning):
         self.tuning = tuning
         self.successes = 0.0
         self.failures = 0.0
-        self.faded_at = 0.0
-        self.in_a_row = 0
-        self.ejections = 0
+        self.decayed_at = 0.0
+        self.consecutive_failures = 0
+        self.ejection_count = 0
         self.ejected_until: float | None = None
         self.unreachable = False
         self.restored_at = float("-inf")
 
-    def trust(self, now: float) -> Trust:
-        """Whether the backend may be chosen at this moment."""
+    def state(self, now: float) -> HealthState:
+        """The state at this moment."""
         if self.unreachable:
-            return Trust.UNREACHABLE
+            return HealthState.UNREACHABLE
         if self.ejected_until is None:
-            return Trust.TRUSTED
-        return Trust.EJECTED if now < self.ejected_until else Trust.PROBING
+            return HealthState.HEALTHY
+        return HealthState.EJECTED if now < self.ejected_until else HealthState.PROBING
 
-    def failure_share(self, now: float) -> float:
-        """The share of recent attempts that failed, taken as none while they are few."""
-        self._fade(now)
+    def failure_ratio(self, now: float) -> float:
+        """The share of recent attempts that failed; lower while there are fewer than the minimum samples."""
+        self._decay(now)
         total = self.successes + self.failures
-        return self.failures / max(total, float(self.tuning.failure_samples))
+        return self.failures / max(total, float(self.tuning.ejection_min_samples))
 
-    def distrust(self, now: float) -> float:
-        """The chance of a failure as far as attempts tell, 0 to 1; few attempts count for little."""
-        self._fade(now)
+    def failure_probability(self, now: float) -> float:
+        """Estimated probability that an attempt fails, 0 to 1, weighted down while attempts are few."""
+        self._decay(now)
         return self.failures / (self.successes + self.failures + PRIOR_SUCCESSES)
 
-    def succeeded(self, now: float) -> None:
-        """An attempt brought its answer (or a stream its first event)."""
-        self._fade(now)
+    def record_success(self, now: float) -> None:
+        """An attempt got its response (or a stream its first event)."""
+        self._decay(now)
         self.successes += 1.0
-        self.in_a_row = 0
+        self.consecutive_failures = 0
         self.unreachable = False
-        if self.trust(now) is Trust.PROBING:
+        if self.state(now) is HealthState.PROBING:
             self.ejected_until = None
             self.restored_at = now
             self.failures = min(self.failures, 1.0)
         elif self.failures < 0.2:
-            self.ejections = 0
+            self.ejection_count = 0
 
-    def failed(self, now: float, weight: float = 1.0) -> bool:
-        """An attempt failed; true when the backend has earned an ejection by it."""
-        self._fade(now)
+    def record_failure(self, now: float, weight: float = 1.0) -> bool:
+        """An attempt failed; returns whether the backend should be ejected."""
+        self._decay(now)
         self.failures += weight
-        self.in_a_row += 1
-        on_parole = now - self.restored_at < self.tuning.parole_s
-        if on_parole or self.trust(now) is Trust.PROBING:
+        self.consecutive_failures += 1
+        recently_restored = now - self.restored_at < self.tuning.reejection_window_s
+        if recently_restored or self.state(now) is HealthState.PROBING:
             return True
-        return self.in_a_row >= self.tuning.failures_in_a_row or (
-            self.successes + self.failures >= self.tuning.failure_samples
-            and self.failure_share(now) > self.tuning.failure_share
+        return self.consecutive_failures >= self.tuning.ejection_consecutive_failures or (
+            self.successes + self.failures >= self.tuning.ejection_min_samples
+            and self.failure_ratio(now) > self.tuning.ejection_failure_ratio
         )
 
-    def reported(self, now: float) -> None:
-        """Another agent's attempt failed: the draw avoids the backend, which is not ejected by it."""
-        self._fade(now)
-        self.failures += self.tuning.reported_failure
+    def record_reported_failure(self, now: float) -> None:
+        """Another agent's attempt failed: lowers the weight of the backend but never ejects it."""
+        self._decay(now)
+        self.failures += self.tuning.reported_failure_weight
 
     def eject(self, now: float, at_least_s: float = 0.0) -> None:
-        """Shun the backend for a time that grows with each ejection."""
-        if self.trust(now) is Trust.EJECTED and at_least_s == 0.0:
+        """Eject the backend for a time that doubles with each ejection, up to a maximum."""
+        if self.state(now) is HealthState.EJECTED and at_least_s == 0.0:
             return
-        span = min(self.tuning.first_ejection_s * 2**self.ejections, self.tuning.most_ejection_s)
-        self.ejected_until = now + max(span, at_least_s)
-        self.ejections = min(self.ejections + 1, 16)
-        self.in_a_row = 0
-
-    def lost(self, now: float) -> None:
-        """No connection comes up, or nothing is heard of what was sent: wait for `reached`."""
-        self._fade(now)
+        duration_s = min(self.tuning.base_ejection_s * 2**self.ejection_count, self.tuning.max_ejection_s)
+        self.ejected_until = now + max(duration_s, at_least_s)
+        self.ejection_count = min(self.ejection_count + 1, 16)
+        self.consecutive_failures = 0
+
+    def mark_unreachable(self, now: float) -> None:
+        """No connection can be opened, or a request got no response: unusable until `mark_reachable`."""
+        self._decay(now)
         self.failures += 1.0
         self.unreachable = True
 
-    def reached(self, now: float) -> None:
-        """A connection has come up again: one request may try the backend."""
+    def mark_reachable(self, now: float) -> None:
+        """A connection was opened again: the backend may be probed with one request."""
         if self.unreachable:
             self.unreachable = False
             self.ejected_until = now
-            self.in_a_row = 0
+            self.consecutive_failures = 0
 
-    def _fade(self, now: float) -> None:
-        kept = exp(-max(0.0, now - self.faded_at) / self.tuning.failure_memory_s)
+    def _decay(self, now: float) -> None:
+        kept = exp(-max(0.0, now - self.decayed_at) / self.tuning.failure_decay_s)
         self.successes *= kept
         self.failures *= kept
-        self.faded_at = now
+        self.decayed_at = now
--- a/src/nettledeal/dataplane/selection/service_state.py
+++ b/src/nettledeal/dataplane/selection/service_state.py
@@ -1,33 +1,33 @@
-"""What an agent has learned of one service as a whole."""
+"""State that an agent learns for a service as a whole."""
 
 from __future__ import annotations
 
-from nettledeal.dataplane.selection.event_pace import EventPace
-from nettledeal.dataplane.selection.latency import LatencyModel
+from nettledeal.dataplane.selection.backend_record import BackendRecord
+from nettledeal.dataplane.selection.event_interval import EventInterval
+from nettledeal.dataplane.selection.home_threshold import HomeThreshold
+from nettledeal.dataplane.selection.latency_model import LatencyModel
 from nettledeal.dataplane.selection.model import ServiceProfile, Tuning
-from nettledeal.dataplane.selection.partition import PromptMix
-from nettledeal.dataplane.selection.record import BackendRecord
-from nettledeal.dataplane.selection.threshold import HomeThreshold
+from nettledeal.dataplane.selection.prompt_partition import PromptMix
 
-# Below this the usual time to a first event is no measure for what a request costs.
-LEAST_BASE_S = 0.001
+# Lower bound of the base latency as the unit that waiting times are converted with.
+MIN_BASE_LATENCY_S = 0.001
 
 
 class ServiceState:
-    """The service's profile, its backends and what they have in common."""
+    """The service's profile, its backends and what is learned from all of them."""
 
     def __init__(self, profile: ServiceProfile, tuning: Tuning):
         self.profile = profile
         self.latency = LatencyModel(tuning)
-        self.threshold = HomeThreshold(tuning)
-        self.pace = EventPace()
-        self.mix = PromptMix(tuning)
+        self.home_threshold = HomeThreshold(tuning)
+        self.event_interval = EventInterval()
+        self.prompt_mix = PromptMix(tuning)
         self.records: dict[str, BackendRecord] = {}
 
-    def queue(self, record: BackendRecord, now: float) -> float:
-        """A backend's remembered queue and own attempts that it does not hold yet, in requests."""
+    def estimated_queue(self, record: BackendRecord, now: float) -> float:
+        """A backend's remembered queue plus own attempts that it does not include yet, in requests."""
         return record.remembered_queue(now) + record.own_queue(self.profile.engine_capacity > 0)
 
-    def as_requests(self, waited_s: float) -> float:
-        """A time in which nothing came, as a queue: in requests that it takes so long to begin."""
-        return waited_s / max(self.latency.base_s, LEAST_BASE_S)
+    def as_queue_length(self, waiting_s: float) -> float:
+        """Converts a waiting time to the number of requests that take this long to start."""
+        return waiting_s / max(self.latency.base_s, MIN_BASE_LATENCY_S)
--- a/src/nettledeal/dataplane/silence.py
+++ b/src/nettledeal/dataplane/silence.py
@@ -37,7 +37,7 @@
 
     def expect_head(self) -> None:
         """The request has been sent."""
-        self._wait(self.selector.silence_s(self.attempt))
+        self._wait(self.selector.connect_check_delay_s(self.attempt))
 
     def expect_events(self, resumable: bool) -> None:
         """The head has come; only a stream that can be taken up elsewhere is watched further."""
@@ -48,7 +48,7 @@
         if self.connection.pool.try_connect(time.monotonic()):
             self._wait(PATIENCE_GROWTH * self.silence_s)
             return True
-        self.selector.not_there(self.attempt.backend_id, time.monotonic())
+        self.selector.record_unreachable(self.attempt.backend_id, time.monotonic())
         self._wait(None)
         return not self.could_repeat()
 
--- a/src/nettledeal/dataplane/stream_pauses.py
+++ b/src/nettledeal/dataplane/stream_pauses.py
@@ -18,5 +18,5 @@
     def heard(self) -> None:
         """More of the stream has come."""
         now = time.monotonic()
-        self.selector.paused(self.attempt, now - self.heard_at, now)
+        self.selector.record_stream_pause(self.attempt, now - self.heard_at, now)
         self.heard_at = now
--- a/src/nettledeal/standins/tenant_fleet.py
+++ b/src/nettledeal/standins/tenant_fleet.py
@@ -97,16 +97,16 @@
         chosen = self.selector.choose(call, now)
         if isinstance(chosen, Refusal):
             return HTTPStatus.SERVICE_UNAVAILABLE
-        attempt = self.selector.started(chosen.id, call, now)
+        attempt = self.selector.start_attempt(chosen.id, call, now)
         if request.separated is not None:
             self.gate.attempted(request.separated, attempt)
         engine = engines.get(chosen.id)
         if engine is None:
-            self.selector.finished(attempt, AttemptOutcome.UNREACHABLE, now)
+            self.selector.finish_attempt(attempt, AttemptOutcome.UNREACHABLE, now)
             return HTTPStatus.SERVICE_UNAVAILABLE
         engine.read(tenant, b"".join(request.parts_for(chosen.id, 1, 1.0)))
-        self.selector.first_event(attempt, now + 0.01)
-        self.selector.finished(attempt, AttemptOutcome.COMPLETED, now + 0.02)
+        self.selector.record_first_event(attempt, now + 0.01)
+        self.selector.finish_attempt(attempt, AttemptOutcome.COMPLETED, now + 0.02)
         return HTTPStatus.OK
 
     def _rewrites(self, route_name: str, service: str) -> bool:
--- a/tests/system/engine_fleet.py
+++ b/tests/system/engine_fleet.py
@@ -273,11 +273,11 @@
     def _probe(self) -> None:
         """What a host does about backends at intervals: it reports silent ones and tries to reach others."""
         for chooser in self.selectors.values():
-            chooser.report_silent(self.clock.now)
-            for backend_id in chooser.unreachable(self.clock.now):
+            chooser.report_silent_backends(self.clock.now)
+            for backend_id in chooser.unreachable_backends(self.clock.now):
                 engine = self.engines[backend_id]
                 if engine.up and not engine.silent:
-                    chooser.reached(backend_id, self.clock.now)
+                    chooser.record_reachable(backend_id, self.clock.now)
         self.clock.after(PROBE_INTERVAL_S, self._probe)
 
     def _pass_reports_on(self, chooser: Selector, delay_s: float) -> None:
@@ -287,7 +287,7 @@
             report = chooser.reports.take()
             for other in self.selectors.values():
                 if other is not chooser and other.placement.zone == chooser.placement.zone:
-                    other.reported(report, self.clock.now)
+                    other.apply_report(report, self.clock.now)
 
         chooser.reports.on_added = lambda: self.clock.after(delay_s, deliver)
 
@@ -322,20 +322,20 @@
         result.zone_crossings += chooser.placement.zone != engine.entry.zone
         result.region_crossings += self.zones[chooser.placement.zone] != self.zones[engine.entry.zone]
         begun = self.clock.now
-        attempt = chooser.started(backend_id, call, begun)
+        attempt = chooser.start_attempt(backend_id, call, begun)
 
         def event() -> None:
             if attempt.first_event_at is None:
                 took = self.clock.now - begun + 0.002
                 result.times.append(took)
                 result.timely += took <= call.latency_target_s
-            chooser.first_event(attempt, self.clock.now)
+            chooser.record_first_event(attempt, self.clock.now)
 
         def end(outcome: AttemptOutcome) -> None:
             result.failed += outcome is not AttemptOutcome.COMPLETED and not attempt.ended
             if attempt.first_event_at is None and outcome is AttemptOutcome.COMPLETED:
                 event()
-            chooser.finished(attempt, outcome, self.clock.now)
+            chooser.finish_attempt(attempt, outcome, self.clock.now)
 
         request = Running(
             call,
--- a/tests/system/test_dataplane_backends.py
+++ b/tests/system/test_dataplane_backends.py
@@ -91,7 +91,7 @@
         client = rig.client()
         client.ask("/web/x")
         pool = rig.plane.connections.pool("i-1")
-        too_long_s = Tuning().calm_rest_s + 0.1
+        too_long_s = Tuning().max_idle_s + 0.1
         pool.idle[0].idle_since -= too_long_s
         client.ask("/safe/x")
         assert rig.backends[0].connections == 1
--- a/tests/system/test_dataplane_client_leaves.py
+++ b/tests/system/test_dataplane_client_leaves.py
@@ -44,13 +44,13 @@
     def __init__(self, first_part: Callable[[Seen], bytes]):
         super().__init__("i-1", script=self._wait)
         self.first_part = first_part
-        self.reached = Event()
+        self.accepts_requests = Event()
         self.left = Event()
         self.left_at = float("inf")
 
     def _wait(self, _: StandIn, sock: socket.socket, seen: Seen) -> bool:
         sock.sendall(self.first_part(seen))
-        self.reached.set()
+        self.accepts_requests.set()
         with suppress(OSError):
             sock.recv(1)
         self._note_left()
@@ -72,7 +72,7 @@
         with sock:
             if not wait_readable(sock):
                 return  # a connection that was kept for later
-            self.reached.set()
+            self.accepts_requests.set()
             # Whatever the kernel holds is not read until the peer has left.
             watched, ended = HangUps(), Event()
             watched.watch(sock.fileno(), ended.set)
@@ -131,7 +131,7 @@
     """A client whose request has got into the state."""
     client = rig.client()
     client.send(state.path, state.body, Request_Id="first")
-    assert backend.reached.wait(REACHED_S)
+    assert backend.accepts_requests.wait(REACHED_S)
     return client
 
 
--- a/tests/system/test_dataplane_silence.py
+++ b/tests/system/test_dataplane_silence.py
@@ -35,7 +35,7 @@
         status, _, _ = rig.client().ask("/brief/x")
         assert status == 504
         assert not rig.backends[1].seen
-        rig.plane.selector.not_there("i-1", 0.0)
+        rig.plane.selector.record_unreachable("i-1", 0.0)
         assert rig.client().ask("/web/x")[2] == b"i-2"
 
 
--- a/tests/system/test_selection_candidates.py
+++ b/tests/system/test_selection_candidates.py
@@ -25,7 +25,7 @@
     AttemptOutcome.REFUSED,
     AttemptOutcome.FAILED,
     AttemptOutcome.UNREACHABLE,
-    AttemptOutcome.GONE,
+    AttemptOutcome.REPLACED,
 ]
 
 
@@ -34,7 +34,7 @@
 
 
 def selector(count: int, most: int | None = None, seed: int = 1, zone: str = "north-1") -> Selector:
-    tuning = Tuning() if most is None else Tuning(most_candidates=most)
+    tuning = Tuning() if most is None else Tuning(max_candidates=most)
     made = Selector(tuning, zone, ZONES[zone], ZONES, Random(seed))
     made.update_services([ServiceProfile("model", 100, 3.0, 20.0, 8, 300_000)], 0.0)
     made.update_backends(fleet(count), 0.0)
@@ -64,15 +64,15 @@
             chosen.append("refused")
         else:
             chosen.append(backend.id)
-            running.append(chooser.started(backend.id, random_call(random), now))
+            running.append(chooser.start_attempt(backend.id, random_call(random), now))
         if random.random() < 0.7 and running:
             attempt = running.pop(random.randrange(len(running)))
             if random.random() < 0.5:
-                chooser.first_event(attempt, now)
-            chooser.finished(attempt, random.choice(OUTCOMES), now)
+                chooser.record_first_event(attempt, now)
+            chooser.finish_attempt(attempt, random.choice(OUTCOMES), now)
         if random.random() < 0.1:
-            for backend_id in chooser.unreachable(now):
-                chooser.reached(backend_id, now)
+            for backend_id in chooser.unreachable_backends(now):
+                chooser.record_reachable(backend_id, now)
         if random.random() < 0.02:
             chooser.set_evacuated({random.choice(PLACES)} if random.random() < 0.5 else set(), now)
     return chosen
@@ -102,7 +102,7 @@
     among_all = [selector(600).choose(middling(number), 1.0).id for number in range(40)]
     limited = selector(600)
     lost = among_all[0]
-    limited.finished(limited.started(lost, middling(0), 1.0), AttemptOutcome.UNREACHABLE, 1.0)
+    limited.finish_attempt(limited.start_attempt(lost, middling(0), 1.0), AttemptOutcome.UNREACHABLE, 1.0)
     after = [limited.choose(middling(number), 1.0).id for number in range(40)]
     assert after[0] != lost
     assert [b for b, a in zip(after, among_all, strict=True) if a != lost] == [
@@ -124,7 +124,7 @@
         places = Counter()
         for _ in range(800):
             backend = chooser.choose(SHORT, 1.0)
-            chooser.started(backend.id, SHORT, 1.0)
+            chooser.start_attempt(backend.id, SHORT, 1.0)
             places[ZONES[backend.zone]] += 1
         shares.append(places["south"] / 800)
     assert shares[1] > 0.1
@@ -136,7 +136,7 @@
         chooser = selector(600, zone=zone)
         for _ in range(300):
             backend = chooser.choose(BOUND, 1.0)
-            chooser.started(backend.id, BOUND, 1.0)
+            chooser.start_attempt(backend.id, BOUND, 1.0)
             assert ZONES[backend.zone] == "north"
 
 
@@ -145,7 +145,9 @@
     usable = "i-0000"
     for backend_id in chooser.records:
         if backend_id != usable:
-            chooser.finished(chooser.started(backend_id, SHORT, 1.0), AttemptOutcome.UNREACHABLE, 1.0)
+            chooser.finish_attempt(
+                chooser.start_attempt(backend_id, SHORT, 1.0), AttemptOutcome.UNREACHABLE, 1.0
+            )
     assert {chooser.choose(call, 1.1).id for call in (SHORT, BOUND, prefixed(1))} == {usable}
 
 
@@ -164,5 +166,5 @@
     chooser = selector(3000)
     state = chooser.services["model"]
     for call in (SHORT, BOUND, prefixed(1), middling(1)):
-        part = chooser.candidates.part(state, call, frozenset())
-        assert len(part) <= 2 * chooser.tuning.most_candidates
+        part = chooser.candidates.subset(state, call, frozenset())
+        assert len(part) <= 2 * chooser.tuning.max_candidates
--- a/tests/system/test_selection_choice.py
+++ b/tests/system/test_selection_choice.py
@@ -52,9 +52,9 @@
 def served(chooser: Selector, call: CallDescription, now: float, took_s: float = 0.05) -> str:
     backend = chooser.choose(call, now)
     assert not isinstance(backend, Refusal)
-    attempt = chooser.started(backend.id, call, now)
-    chooser.first_event(attempt, now + took_s)
-    chooser.finished(attempt, AttemptOutcome.COMPLETED, now + took_s)
+    attempt = chooser.start_attempt(backend.id, call, now)
+    chooser.record_first_event(attempt, now + took_s)
+    chooser.finish_attempt(attempt, AttemptOutcome.COMPLETED, now + took_s)
     return backend.id
 
 
@@ -69,7 +69,7 @@
     places = Counter()
     for _ in range(60):
         backend = chooser.choose(SHORT, 1.0)
-        chooser.started(backend.id, SHORT, 1.0)
+        chooser.start_attempt(backend.id, SHORT, 1.0)
         places[backend.zone] += 1
     assert places["south-1"] > 5
 
@@ -79,11 +79,13 @@
     chooser = selector(zone)
     for _ in range(200):
         backend = chooser.choose(BOUND, 1.0)
-        chooser.started(backend.id, BOUND, 1.0)
+        chooser.start_attempt(backend.id, BOUND, 1.0)
         assert ZONES[backend.zone] == "north"
     for backend_id in ("n1", "n2", "n3", "n4"):
         for _ in range(5):
-            chooser.finished(chooser.started(backend_id, BOUND, 2.0), AttemptOutcome.UNREACHABLE, 2.0)
+            chooser.finish_attempt(
+                chooser.start_attempt(backend_id, BOUND, 2.0), AttemptOutcome.UNREACHABLE, 2.0
+            )
     chosen = chooser.choose(BOUND, 2.0)
     assert isinstance(chosen, Refusal) or ZONES[chosen.zone] == "north"
 
@@ -99,7 +101,7 @@
     chosen = Counter()
     for _ in range(40):
         backend = chooser.choose(prefixed(1), 1.0)
-        chooser.started(backend.id, prefixed(1), 1.0)
+        chooser.start_attempt(backend.id, prefixed(1), 1.0)
         chosen[backend.id] += 1
     assert max(chosen.values()) <= 20
 
@@ -112,7 +114,7 @@
     chooser.set_agents([f"agent-{n}" for n in range(8)], "agent-0", 10.0)
     allowed = 0
     while not isinstance(backend := chooser.choose(SHORT, 10.0), Refusal):
-        chooser.started(backend.id, SHORT, 10.0)
+        chooser.start_attempt(backend.id, SHORT, 10.0)
         allowed += 1
     assert 0 < allowed <= 2 * 4
 
@@ -127,13 +129,15 @@
 def test_a_failing_backend_is_shunned_and_probed_back():
     chooser = selector()
     for n in range(3):
-        chooser.finished(chooser.started("n1", SHORT, 1.0 + n / 100), AttemptOutcome.FAILED, 1.0 + n / 100)
+        chooser.finish_attempt(
+            chooser.start_attempt("n1", SHORT, 1.0 + n / 100), AttemptOutcome.FAILED, 1.0 + n / 100
+        )
     assert "n1" not in {chooser.choose(SHORT, 1.1).id for _ in range(100)}
     probes = [chooser.choose(SHORT, 3.0).id for _ in range(100)]
     assert "n1" in probes
-    probe = chooser.started("n1", SHORT, 3.0)
+    probe = chooser.start_attempt("n1", SHORT, 3.0)
     assert "n1" not in {chooser.choose(SHORT, 3.0).id for _ in range(100)}
-    chooser.first_event(probe, 3.05)
+    chooser.record_first_event(probe, 3.05)
     assert "n1" in {chooser.choose(SHORT, 3.1).id for _ in range(100)}
 
 
@@ -141,74 +145,80 @@
     chooser = selector()
     random = Random(5)
     for n in range(40):
-        attempt = chooser.started("n1", SHORT, n / 20)
+        attempt = chooser.start_attempt("n1", SHORT, n / 20)
         failed = random.random() < 0.5
-        chooser.finished(
+        chooser.finish_attempt(
             attempt, AttemptOutcome.FAILED if failed else AttemptOutcome.COMPLETED, n / 20 + 0.01
         )
-    assert chooser.records["n1"].health.ejections > 0
+    assert chooser.records["n1"].health.ejection_count > 0
 
 
 def test_not_all_backends_are_shunned_at_once():
     chooser = selector()
     for backend in BACKENDS:
         for n in range(5):
-            chooser.finished(chooser.started(backend.id, SHORT, 1.0 + n / 100), AttemptOutcome.FAILED, 1.05)
+            chooser.finish_attempt(
+                chooser.start_attempt(backend.id, SHORT, 1.0 + n / 100), AttemptOutcome.FAILED, 1.05
+            )
     assert not isinstance(chooser.choose(SHORT, 1.1), Refusal)
 
 
 def test_a_silent_backend_gets_nothing_more():
     chooser = selector()
-    chooser.started("n1", SHORT, 1.0)
+    chooser.start_attempt("n1", SHORT, 1.0)
     assert "n1" not in {chooser.choose(SHORT, 3.0).id for _ in range(100)}
 
 
 def test_a_backend_that_declined_counts_as_busy_until_it_is_heard():
     chooser = selector()
-    chooser.finished(chooser.started("n1", SHORT, 1.0), AttemptOutcome.REFUSED, 1.0)
+    chooser.finish_attempt(chooser.start_attempt("n1", SHORT, 1.0), AttemptOutcome.REFUSED, 1.0)
     assert Counter(chooser.choose(SHORT, 5.0).id for _ in range(300))["n1"] < 40
 
 
 def test_an_unreachable_backend_gets_nothing_until_a_connection_comes_up():
     chooser = selector()
-    chooser.finished(chooser.started("n1", SHORT, 1.0), AttemptOutcome.UNREACHABLE, 1.4)
-    assert chooser.unreachable(1.5) == ["n1"]
+    chooser.finish_attempt(chooser.start_attempt("n1", SHORT, 1.0), AttemptOutcome.UNREACHABLE, 1.4)
+    assert chooser.unreachable_backends(1.5) == ["n1"]
     for now in (2.0, 20.0, 200.0):
         assert "n1" not in {chooser.choose(SHORT, now).id for _ in range(100)}
-    chooser.reached("n1", 201.0)
-    assert chooser.unreachable(201.0) == []
+    chooser.record_reachable("n1", 201.0)
+    assert chooser.unreachable_backends(201.0) == []
     assert "n1" in {chooser.choose(SHORT, 201.0).id for _ in range(100)}
 
 
 def test_a_request_that_was_never_answered_makes_its_backend_unreachable():
     chooser = selector()
-    attempt = chooser.started("n1", SHORT, 1.0)
-    chooser.finished(attempt, AttemptOutcome.FAILED, 4.0)
-    assert chooser.unreachable(4.0) == ["n1"]
+    attempt = chooser.start_attempt("n1", SHORT, 1.0)
+    chooser.finish_attempt(attempt, AttemptOutcome.FAILED, 4.0)
+    assert chooser.unreachable_backends(4.0) == ["n1"]
 
 
 def test_where_nothing_can_be_reached_the_request_is_refused_at_once():
     chooser = selector()
     for backend in BACKENDS:
-        chooser.finished(chooser.started(backend.id, SHORT, 1.0), AttemptOutcome.UNREACHABLE, 1.4)
+        chooser.finish_attempt(chooser.start_attempt(backend.id, SHORT, 1.0), AttemptOutcome.UNREACHABLE, 1.4)
     assert isinstance(chooser.choose(SHORT, 1.5), Refusal)
 
 
 def test_a_stale_connection_says_nothing_of_its_backend():
     chooser = selector()
     for n in range(20):
-        chooser.finished(chooser.started("n1", SHORT, 1.0 + n / 100), AttemptOutcome.NOT_SENT, 1.0 + n / 100)
-    assert chooser.records["n1"].health.trust(1.3).name == "TRUSTED"
+        chooser.finish_attempt(
+            chooser.start_attempt("n1", SHORT, 1.0 + n / 100), AttemptOutcome.NOT_SENT, 1.0 + n / 100
+        )
+    assert chooser.records["n1"].health.state(1.3).name == "HEALTHY"
 
 
 def test_a_backend_that_fails_again_soon_after_its_return_is_shunned_at_once():
     chooser = selector()
     for n in range(3):
-        chooser.finished(chooser.started("n1", SHORT, 1.0 + n / 100), AttemptOutcome.FAILED, 1.0 + n / 100)
-    probe = chooser.started("n1", SHORT, 3.0)
-    chooser.first_event(probe, 3.05)
-    chooser.finished(probe, AttemptOutcome.COMPLETED, 3.1)
-    chooser.finished(chooser.started("n1", SHORT, 3.2), AttemptOutcome.FAILED, 3.25)
+        chooser.finish_attempt(
+            chooser.start_attempt("n1", SHORT, 1.0 + n / 100), AttemptOutcome.FAILED, 1.0 + n / 100
+        )
+    probe = chooser.start_attempt("n1", SHORT, 3.0)
+    chooser.record_first_event(probe, 3.05)
+    chooser.finish_attempt(probe, AttemptOutcome.COMPLETED, 3.1)
+    chooser.finish_attempt(chooser.start_attempt("n1", SHORT, 3.2), AttemptOutcome.FAILED, 3.25)
     assert "n1" not in {chooser.choose(SHORT, 3.3).id for _ in range(100)}
 
 
@@ -233,7 +243,7 @@
         served(chooser, BOUND, 0.5)
     placed = {n: served(before, prefixed(n), 1.0) for n in range(60)}
     lost = placed[0]
-    after.finished(after.started(lost, BOUND, 0.6), AttemptOutcome.UNREACHABLE, 0.9)
+    after.finish_attempt(after.start_attempt(lost, BOUND, 0.6), AttemptOutcome.UNREACHABLE, 0.9)
     moved = {n: served(after, prefixed(n), 1.0) for n in range(60)}
     assert all(moved[n] == home for n, home in placed.items() if home != lost)
 
@@ -248,7 +258,7 @@
 def waiting_first(chooser: Selector, call: CallDescription, now: float) -> str:
     """The backend that the call goes to; the attempt waits there."""
     backend = chooser.choose(call, now)
-    chooser.started(backend.id, call, now)
+    chooser.start_attempt(backend.id, call, now)
     return backend.id
 
 
@@ -278,7 +288,7 @@
     chooser = selector()
     home = served(chooser, call, 1.0)
     connected = next(backend.id for backend in BACKENDS[:4] if backend.id != home)
-    chooser.placement.connected = lambda backend_id, now: backend_id == connected
+    chooser.placement.has_idle_connection = lambda backend_id, now: backend_id == connected
     homes = Counter(served(chooser, call, 1.0 + step / 10) for step in range(1, 21))
     assert (homes[home] == 20) is steered
     assert steered or homes[connected] > 15
--- a/tests/system/test_selection_load.py
+++ b/tests/system/test_selection_load.py
@@ -12,9 +12,9 @@
 
 
 def answered(chooser, backend_id, now, took_s=0.05, load=None, call=SHORT):
-    attempt = chooser.started(backend_id, call, now)
-    chooser.first_event(attempt, now + took_s, load)
-    chooser.finished(attempt, AttemptOutcome.COMPLETED, now + took_s)
+    attempt = chooser.start_attempt(backend_id, call, now)
+    chooser.record_first_event(attempt, now + took_s, load)
+    chooser.finish_attempt(attempt, AttemptOutcome.COMPLETED, now + took_s)
 
 
 def chosen_of(chooser, now, call=SHORT):
@@ -51,10 +51,10 @@
 
 def test_own_attempts_are_not_counted_a_second_time():
     chooser = selector()
-    attempt = chooser.started("n1", SHORT, 0.9)
-    chooser.first_event(attempt, 1.0, ReportedLoad(1, 0))
+    attempt = chooser.start_attempt("n1", SHORT, 0.9)
+    chooser.record_first_event(attempt, 1.0, ReportedLoad(1, 0))
     other = selector()
-    other.first_event(other.started("n1", SHORT, 0.9), 1.0)
+    other.record_first_event(other.start_attempt("n1", SHORT, 0.9), 1.0)
     assert chooser.records["n1"].remembered_queue(1.0) == other.records["n1"].remembered_queue(1.0)
 
 
@@ -67,7 +67,7 @@
 
 def test_a_backend_to_which_a_connection_rests_is_preferred_at_equal_queues():
     chooser = selector()
-    chooser.placement.connected = lambda backend_id, now: backend_id == "n2"
+    chooser.placement.has_idle_connection = lambda backend_id, now: backend_id == "n2"
     chosen = chosen_of(chooser, 1.0)
     assert chosen["n2"] > 2 * chosen["n1"]
     assert set(chosen) == {"n1", "n2", "n3", "n4"}
@@ -75,48 +75,50 @@
 
 def test_connections_rest_for_less_where_a_backend_was_lost_of_late():
     chooser, tuning = selector(), Tuning()
-    assert chooser.most_rest_s("n1", 1.0) == tuning.calm_rest_s
-    chooser.finished(chooser.started("n2", SHORT, 0.9), AttemptOutcome.UNREACHABLE, 1.0)
-    assert chooser.most_rest_s("n1", 2.0) == tuning.troubled_rest_s  # of the same zone
-    assert chooser.most_rest_s("s1", 2.0) == tuning.calm_rest_s
-    assert chooser.most_rest_s("n1", 1.0 + tuning.trouble_memory_s) == tuning.calm_rest_s
-    chooser.finished(chooser.started("s1", SHORT, 3.0), AttemptOutcome.TIMED_OUT, 5.1)
-    assert chooser.most_rest_s("s2", 6.0) == tuning.troubled_rest_s
-    assert chooser.most_rest_s("unknown", 4.0) == tuning.troubled_rest_s
+    assert chooser.max_idle_s("n1", 1.0) == tuning.max_idle_s
+    chooser.finish_attempt(chooser.start_attempt("n2", SHORT, 0.9), AttemptOutcome.UNREACHABLE, 1.0)
+    assert chooser.max_idle_s("n1", 2.0) == tuning.max_idle_after_zone_failure_s  # of the same zone
+    assert chooser.max_idle_s("s1", 2.0) == tuning.max_idle_s
+    assert chooser.max_idle_s("n1", 1.0 + tuning.zone_failure_window_s) == tuning.max_idle_s
+    chooser.finish_attempt(chooser.start_attempt("s1", SHORT, 3.0), AttemptOutcome.TIMED_OUT, 5.1)
+    assert chooser.max_idle_s("s2", 6.0) == tuning.max_idle_after_zone_failure_s
+    assert chooser.max_idle_s("unknown", 4.0) == tuning.max_idle_after_zone_failure_s
 
 
 def test_a_backend_that_takes_no_connection_makes_its_zone_a_troubled_one():
     chooser = selector()
-    chooser.not_there("n1", 1.0)
-    assert chooser.most_rest_s("n2", 1.5) == Tuning().troubled_rest_s
+    chooser.record_unreachable("n1", 1.0)
+    assert chooser.max_idle_s("n2", 1.5) == Tuning().max_idle_after_zone_failure_s
 
 
 def test_backends_of_a_zone_in_doubt_get_nothing_where_enough_others_are_left():
     chooser = selector()
-    chooser.set_doubted({"north-2"})
+    chooser.set_suspect_zones({"north-2"})
     assert set(chosen_of(chooser, 1.0)) == {"n1", "n2"}
-    assert chooser.most_rest_s("n3", 1.0) == Tuning().troubled_rest_s
-    chooser.set_doubted({"north-2", "south-1"})  # four of six: the two others can't bear the load of all
+    assert chooser.max_idle_s("n3", 1.0) == Tuning().max_idle_after_zone_failure_s
+    chooser.set_suspect_zones(
+        {"north-2", "south-1"}
+    )  # four of six: the two others can't bear the load of all
     assert set(chosen_of(chooser, 1.0)) == {"n1", "n2", "n3", "n4"}
-    chooser.set_doubted(set())
+    chooser.set_suspect_zones(set())
     assert set(chosen_of(chooser, 1.0)) == {"n1", "n2", "n3", "n4"}
 
 
 def test_the_own_zone_is_never_in_doubt():
     chooser = selector()
-    chooser.set_doubted({"north-1"})
+    chooser.set_suspect_zones({"north-1"})
     assert set(chosen_of(chooser, 1.0)) == {"n1", "n2", "n3", "n4"}
 
 
 def test_a_smoothed_queue_fades_and_weighs_readings_by_their_distance():
     queue = SmoothedQueue(0.7, 1.0)
     queue.add(10.0, 0.0)
-    assert queue.last == pytest.approx(3.0)
+    assert queue.last_value == pytest.approx(3.0)
     assert queue.value(1.0) == pytest.approx(2.1)
     queue.add(10.0, 0.1)
-    assert queue.last == pytest.approx(2.895 + 0.09 * (10 - 2.895), abs=0.02)
-    queue.add(0.0, 9.0, fades=False)
-    assert queue.last > 2.0
+    assert queue.last_value == pytest.approx(2.895 + 0.09 * (10 - 2.895), abs=0.02)
+    queue.add(0.0, 9.0, decay=False)
+    assert queue.last_value > 2.0
 
 
 def test_a_served_request_leaves_no_attempt_behind():
--- a/tests/system/test_selection_lost.py
+++ b/tests/system/test_selection_lost.py
@@ -6,7 +6,7 @@
 from msgspec import structs
 
 from nettledeal.dataplane.selection import AttemptOutcome
-from nettledeal.dataplane.selection.health import Trust
+from nettledeal.dataplane.selection.health import HealthState
 
 from .test_selection_choice import BACKENDS, SHORT, selector
 
@@ -14,14 +14,14 @@
 
 
 def lose(chooser, backend_id: str, now: float) -> None:
-    chooser.finished(chooser.started(backend_id, SHORT, now), AttemptOutcome.UNREACHABLE, now)
+    chooser.finish_attempt(chooser.start_attempt(backend_id, SHORT, now), AttemptOutcome.UNREACHABLE, now)
 
 
 def looked_for_among_all(chooser, now: float) -> set[str]:
     return {
         backend_id
         for backend_id, record in chooser.records.items()
-        if record.health.trust(now) is Trust.UNREACHABLE and record.backend.state == "ready"
+        if record.health.state(now) is HealthState.UNREACHABLE and record.backend.state == "ready"
     }
 
 
@@ -37,9 +37,9 @@
         if act == 0 and backend.id in listed:
             lose(chooser, backend.id, now)
         elif act == 1:
-            chooser.reached(backend.id, now)
+            chooser.record_reachable(backend.id, now)
         elif act == 2 and backend.id in chooser.records:
-            chooser.first_event(chooser.started(backend.id, SHORT, now), now)
+            chooser.record_first_event(chooser.start_attempt(backend.id, SHORT, now), now)
         elif act == 3:
             listed[backend.id] = replace(backend, state=random.choice(["ready", DRAINING]))
             chooser.update_backends(listed.values(), now)
@@ -48,7 +48,7 @@
             chooser.update_backends(listed.values(), now)
         expected = looked_for_among_all(chooser, now)
         found += bool(expected)
-        assert set(chooser.unreachable(now)) == expected
+        assert set(chooser.unreachable_backends(now)) == expected
     assert found > 200
 
 
@@ -56,22 +56,22 @@
     chooser = selector()
     lose(chooser, "n1", 1.0)
     chooser.update_backends([replace(BACKENDS[0], state=DRAINING), *BACKENDS[1:]], 1.1)
-    assert chooser.unreachable(1.2) == []
+    assert chooser.unreachable_backends(1.2) == []
     chooser.update_backends(BACKENDS, 1.3)
-    assert chooser.unreachable(1.4) == ["n1"]
+    assert chooser.unreachable_backends(1.4) == ["n1"]
 
 
 def test_a_backend_that_takes_no_new_connection_gets_nothing_until_it_is_reached():
     chooser = selector()
-    chooser.not_there("n1", 1.0)
-    assert chooser.unreachable(1.1) == ["n1"]
+    chooser.record_unreachable("n1", 1.0)
+    assert chooser.unreachable_backends(1.1) == ["n1"]
     assert "n1" not in {chooser.choose(SHORT, 1.1).id for _ in range(100)}
-    chooser.reached("n1", 1.2)
+    chooser.record_reachable("n1", 1.2)
     assert "n1" in {chooser.choose(SHORT, 1.3).id for _ in range(100)}
 
 
 def test_silence_is_looked_into_well_within_the_target_and_not_at_once():
     chooser = selector()
     long = structs.replace(SHORT, prompt_tokens=40_000, latency_target_s=1.0)
-    assert chooser.silence_s(chooser.started("n1", long, 1.0)) == 0.3
-    assert chooser.silence_s(chooser.started("n1", SHORT, 1.0)) == 0.2
+    assert chooser.connect_check_delay_s(chooser.start_attempt("n1", long, 1.0)) == 0.3
+    assert chooser.connect_check_delay_s(chooser.start_attempt("n1", SHORT, 1.0)) == 0.2
--- a/tests/system/test_selection_reports.py
+++ b/tests/system/test_selection_reports.py
@@ -18,27 +18,27 @@
 
 
 def fail_at(chooser: Selector, backend_id: str, now: float, outcome: AttemptOutcome) -> None:
-    attempt = chooser.started(backend_id, SHORT, now)
-    chooser.finished(attempt, outcome, now + 0.01)
+    attempt = chooser.start_attempt(backend_id, SHORT, now)
+    chooser.finish_attempt(attempt, outcome, now + 0.01)
 
 
 def test_a_backend_that_others_report_is_avoided_and_not_shut_out():
     chooser = selector()
     before = chosen_of(chooser, 1.0)["n1"]
-    chooser.reported(BackendReport(["n1", "unknown"]), 1.0)
+    chooser.apply_report(BackendReport(["n1", "unknown"]), 1.0)
     assert 0 < chosen_of(chooser, 1.0)["n1"] < before / 5
 
 
 def test_reports_fade():
     chooser = selector()
     before = chosen_of(chooser, 1.0)["n1"]
-    chooser.reported(BackendReport(["n1"]), 1.0)
+    chooser.apply_report(BackendReport(["n1"]), 1.0)
     assert chosen_of(chooser, 21.0)["n1"] > before / 2
 
 
 def test_where_all_are_reported_requests_still_go_to_all():
     chooser = selector()
-    chooser.reported(BackendReport(["n1", "n2", "n3", "n4", "s1", "s2"]), 1.0)
+    chooser.apply_report(BackendReport(["n1", "n2", "n3", "n4", "s1", "s2"]), 1.0)
     assert set(chosen_of(chooser, 1.0)) == {"n1", "n2", "n3", "n4"}
 
 
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize(
     "outcome",
-    [AttemptOutcome.REFUSED, AttemptOutcome.GONE, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT],
+    [AttemptOutcome.REFUSED, AttemptOutcome.REPLACED, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT],
 )
 def test_what_is_no_failure_is_not_told(outcome):
     chooser = selector()
@@ -71,18 +71,18 @@
 
 def test_what_others_report_is_not_passed_on():
     chooser = selector()
-    chooser.reported(BackendReport(["n1"]), 1.0)
+    chooser.apply_report(BackendReport(["n1"]), 1.0)
     assert chooser.reports.take().failed == []
 
 
 def test_a_silent_backend_is_told_while_its_request_still_waits():
     chooser = selector()
-    chooser.started("n1", SHORT, 1.0)
-    chooser.report_silent(1.2)
+    chooser.start_attempt("n1", SHORT, 1.0)
+    chooser.report_silent_backends(1.2)
     assert chooser.reports.take().failed == []
-    chooser.report_silent(2.0)
+    chooser.report_silent_backends(2.0)
     assert chooser.reports.take().failed == ["n1"]
-    chooser.report_silent(2.5)
+    chooser.report_silent_backends(2.5)
     assert chooser.reports.take().failed == []
 
 
--- a/tests/system/test_selection_warmup.py
+++ b/tests/system/test_selection_warmup.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from nettledeal.dataplane.selection.model import ServiceProfile, Tuning
-from nettledeal.dataplane.selection.warmup import MembersSeen, WarmupShares
+from nettledeal.dataplane.selection.warmup import RecentMembers, WarmupShares
 
 
 @dataclass
@@ -18,8 +18,8 @@
 
 def agent(name: str, names: list[str], now: float = 0.0) -> Agent:
     tuning = Tuning()
-    members = MembersSeen(tuning)
-    members.set(names, name, now)
+    members = RecentMembers(tuning)
+    members.update(names, name, now)
     return Agent(name, WarmupShares(tuning, members))
 
 
@@ -56,7 +56,7 @@
         if number == 39 % agents and len(sent) % 7 == 0:
             fleet[number % agents] = chosen = agent(chosen.name, [], now)
         if chosen.shares.allows("backend", service, now):
-            chosen.shares.sent("backend", now)
+            chosen.shares.record_sent("backend", now)
             sent.append(now)
     counts = defaultdict(int)
     for start in sent:
@@ -76,5 +76,5 @@
     one = agent("agent-1", names)
     service = ServiceProfile("model", warmup_s=3.0, warmup_per_s=20.0)
     before = one.shares.share("backend", service, 10.0)
-    one.shares.members.set(["agent-1"], "agent-1", 10.0)
+    one.shares.members.update(["agent-1"], "agent-1", 10.0)
     assert one.shares.share("backend", service, 10.0) == before
--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -20,7 +20,7 @@
 from nettledeal.control.state import ChangeShares, ControlState, Outcome, ShareChange
 from nettledeal.dataplane.budgets import BudgetTerms, EqualShare, LeasedShare, RetryBudget
 from nettledeal.dataplane.selection.model import ServiceProfile, Tuning
-from nettledeal.dataplane.selection.warmup import MembersSeen, WarmupShares
+from nettledeal.dataplane.selection.warmup import RecentMembers, WarmupShares
 from nettledeal.membership.node import ASSUMED_BEFORE_JOINING, MemberInfo
 from nettledeal.programs.share_loop import ShareLoop
 from nettledeal.shares import keeper, lease
@@ -63,7 +63,7 @@
         self.equal = EqualShare()
         self.equal.set_members(ASSUMED_BEFORE_JOINING, self.clock(now))
         self.budget = RetryBudget(TERMS, LeasedShare(self.lease, window_s, self.equal))
-        self.warmup = WarmupShares(TUNING, MembersSeen(TUNING))
+        self.warmup = WarmupShares(TUNING, RecentMembers(TUNING))
         self.warmup.lease = self.lease
 
     def clock(self, now: float) -> float:
