--- a/experiments/ablation.py
+++ b/experiments/ablation.py
@@ -72,14 +72,14 @@
     "failures told": (_tuning("reported_failure_weight", "1.0", "0.0"),),
     "silence checks": (
         Switch(
-            "dataplane/silence.py",
-            "        self._wait(self.selector.connect_check_delay_s(self.attempt))\n",
-            "        self._wait(None)\n",
+            "dataplane/silence_check.py",
+            "        self._set_timeout(self.selector.connect_check_delay_s(self.attempt))\n",
+            "        self._set_timeout(None)\n",
         ),
         Switch(
-            "dataplane/silence.py",
-            "        self._wait(STREAM_SILENCE_S if resumable else None)\n",
-            "        self._wait(None)\n",
+            "dataplane/silence_check.py",
+            "        self._set_timeout(STREAM_CHECK_DELAY_S if resumable else None)\n",
+            "        self._set_timeout(None)\n",
         ),
     ),
     "long rests": (_tuning("max_idle_s", "6.0", "0.5"),),
@@ -87,14 +87,14 @@
     "loads told by backends": (
         Switch(
             "dataplane/forwarding.py",
-            "read_server_load(answer.header(LOAD_HEADER)))",
-            "None)",
+            "read_server_load(response.header(LOAD_HEADER))",
+            "None",
         ),
     ),
     "pauses in streams": (
         Switch(
             "dataplane/forwarding.py",
-            "            if answer.is_event_stream:\n",
+            "            if response.is_event_stream:\n",
             "            if False:\n",
         ),
     ),
--- a/src/nettledeal/dataplane/agent.py
+++ b/src/nettledeal/dataplane/agent.py
@@ -15,13 +15,13 @@
 from nettledeal.common.logs import log_event
 from nettledeal.common.settings import Settings
 from nettledeal.dataplane.backend_connections import BackendConnections
-from nettledeal.dataplane.budgets import BudgetTerms, EqualShare, LeasedShare, RetryBudget
 from nettledeal.dataplane.draining import Drain
 from nettledeal.dataplane.forwarding import Forwarding
 from nettledeal.dataplane.ingress import Ingress
 from nettledeal.dataplane.known_backends import BackendChanges, KnownBackends
 from nettledeal.dataplane.readiness import ReadinessServer
-from nettledeal.dataplane.routing_table import TENANCY, RoutingTable, updated_table
+from nettledeal.dataplane.retry_budget import BudgetTerms, EqualShare, LeasedShare, RetryBudget
+from nettledeal.dataplane.routing_table import TENANCY_KEY, RoutingTable, updated_table
 from nettledeal.dataplane.selection import BackendReport, Selector, ServiceProfile, Tuning, WarmupBounds
 from nettledeal.discovery.catalogue import Backend, BackendState
 from nettledeal.net.transport.buffers import MemoryPool
@@ -29,7 +29,7 @@
 from nettledeal.shares.lease import ShareLease
 from nettledeal.shares.roster import roster_in
 
-SWEEP_INTERVAL_S = 0.5
+MAINTENANCE_INTERVAL_S = 0.5
 # Of a process's memory, what messages may take beyond the first bytes of each.
 MESSAGE_MEMORY_SHARE = 0.25
 MEBIBYTE = 1 << 20
@@ -37,7 +37,7 @@
 RESERVED_FDS = 264
 CLIENT_FDS_SHARE = 0.7
 # Addresses of backends that are kept as read.
-KNOWN_ADDRESSES = 16_384
+ADDRESS_CACHE_SIZE = 16_384
 
 
 class DataPlane:
@@ -57,22 +57,22 @@
         tuning = Tuning(warmup=WarmupBounds(bounds.warmup_overage, bounds.warmup_slack))
         self.selector = Selector(tuning, settings.zone, settings.region, settings.zones, self.random)
         self.selector.warmup.lease = self.lease
-        self.stock = MemoryPool(int(settings.limits.memory_mb * MEBIBYTE * MESSAGE_MEMORY_SHARE))
-        self.connections = BackendConnections(self.stock)
+        self.memory_pool = MemoryPool(int(settings.limits.memory_mb * MEBIBYTE * MESSAGE_MEMORY_SHARE))
+        self.connections = BackendConnections(self.memory_pool)
         self.selector.placement.has_idle_connection = self._has_idle_connection
         self.forwarding = Forwarding(self.selector, self.budget, self.connections, self.random)
         max_clients = int((settings.limits.max_fds - RESERVED_FDS) * CLIENT_FDS_SHARE)
-        self.ingress = Ingress(self.forwarding, self.stock, max(16, max_clients))
+        self.ingress = Ingress(self.forwarding, self.memory_pool, max(16, max_clients))
         self.readiness = ReadinessServer(lambda: self.ready, self.tenants_page)
         self.control_version: object = None
         self.catalogue_version: object = None
         self.known_backends = KnownBackends()
-        self._catalogue_taken = False  # whether the last catalogue was taken up without a fault
-        self._connection_terms: tuple[object, ...] = ()
+        self._catalogue_applied = False  # whether the last catalogue was taken up without a fault
+        self._applied_connection_config: tuple[object, ...] = ()
         self.on_ready_changed: Callable[[bool], None] = lambda ready: None
         self._table = RoutingTable()
-        self._sweeping: gevent.Greenlet | None = None
-        self._probed: set[str] = set()
+        self._maintenance: gevent.Greenlet | None = None
+        self._probing: set[str] = set()
 
     @property
     def table(self) -> RoutingTable:
@@ -82,7 +82,7 @@
     @property
     def ready(self) -> bool:
         """Whether clients may come: a configuration and a catalogue are held, and the process is to stay."""
-        return self.ingress.able and not self.ingress.draining
+        return self.ingress.can_serve and not self.ingress.draining
 
     def start(self, listener: StandardSocket | None = None) -> None:
         """Take clients, from `listener` if given, and the platform's check. Raises OSError."""
@@ -93,7 +93,7 @@
             self.ingress.start(listening_socket(parse_address(frontend)))
         if readiness is not None:
             self.readiness.start(parse_address(readiness))
-        self._sweeping = gevent.spawn(self._sweep)
+        self._maintenance = gevent.spawn(self._run_maintenance)
 
     def apply_control(self, version: object, entries: Mapping[str, bytes]) -> None:
         """Take the control state as of `version`: the whole of it, by key."""
@@ -105,12 +105,12 @@
         self.lease.use(roster_in(entries))
         self.selector.update_services([_profile(service) for service in table.services.values()], now)
         self.selector.set_evacuated(table.evacuated, now)
-        if self._connection_terms != self._terms():
+        if self._applied_connection_config != self._connection_config():
             self._update_connections()
-        if TENANCY in entries or self.forwarding.tenants is not None:
+        if TENANCY_KEY in entries or self.forwarding.tenants is not None:
             self._update_tenants(entries)
         self.ingress.use_table(table)
-        self._note_ready(was_ready)
+        self._publish_ready_change(was_ready)
 
     def _update_tenants(self, entries: Mapping[str, bytes]) -> None:
         """Take tenants and their keys; what it needs is loaded with the first configuration that has any."""
@@ -135,30 +135,30 @@
         """
         was_ready = self.ready
         now = time.monotonic()
-        whole = changed_keys is None or not self._catalogue_taken
-        self._catalogue_taken = False
+        whole = changed_keys is None or not self._catalogue_applied
+        self._catalogue_applied = False
         if whole:
             self.selector.update_backends(self.known_backends.update(entries, now), now)
             self._update_connections()
         else:
-            self._take_changes(self.known_backends.change(entries, changed_keys, now), now)
-        self._catalogue_taken = True
+            self._apply_catalogue_changes(self.known_backends.change(entries, changed_keys, now), now)
+        self._catalogue_applied = True
         self.catalogue_version = version
-        self.ingress.take_catalogue()
-        self._note_ready(was_ready)
+        self.ingress.set_catalogue_received()
+        self._publish_ready_change(was_ready)
 
-    def _take_changes(self, changes: BackendChanges, now: float) -> None:
+    def _apply_catalogue_changes(self, changes: BackendChanges, now: float) -> None:
         self.selector.change_backends(changes.changed, changes.removed, now)
         for backend_id in changes.removed:
             self.connections.remove(backend_id)
         for backend in changes.changed:
-            if self._connectable(backend):
+            if self._is_connectable(backend):
                 address = _backend_address(backend.address)
-                self.connections.change(backend.id, address, self._accepted(backend))
+                self.connections.change(backend.id, address, self._max_connections(backend))
             else:
                 self.connections.remove(backend.id)
 
-    def take_report(self, report: BackendReport) -> None:
+    def apply_report(self, report: BackendReport) -> None:
         """Take what another agent of the zone has just found at backends."""
         self.selector.apply_report(report, time.monotonic())
 
@@ -168,7 +168,7 @@
         self.connections.members = max(1, count)
         self.selector.set_agents(names, self.settings.node_name, time.monotonic())
 
-    def set_doubted_zones(self, zones: Collection[str]) -> None:
+    def set_suspect_zones(self, zones: Collection[str]) -> None:
         """Take the zones that may be lost as a whole, by the members that are."""
         self.selector.set_suspect_zones(zones)
 
@@ -176,52 +176,54 @@
         """Leave service in order; returns once every request has its answer, or the grace is nearly over."""
         was_ready = self.ready
         self.ingress.drain()
-        self._note_ready(was_ready)
+        self._publish_ready_change(was_ready)
         Drain(self.ingress, self.settings.bounds).run()
         self.connections.close()
         self.readiness.stop()
-        if self._sweeping is not None:
-            self._sweeping.kill()
+        if self._maintenance is not None:
+            self._maintenance.kill()
 
     def _has_idle_connection(self, backend_id: str, now: float) -> bool:
-        return self.connections.rests(backend_id, now, self.selector.max_idle_s(backend_id, now))
+        return self.connections.has_idle(backend_id, now, self.selector.max_idle_s(backend_id, now))
 
     def _update_connections(self) -> None:
-        self._connection_terms = self._terms()
+        self._applied_connection_config = self._connection_config()
         usable = [
-            backend for backend in self.known_backends.as_of(time.monotonic()) if self._connectable(backend)
+            backend
+            for backend in self.known_backends.as_of(time.monotonic())
+            if self._is_connectable(backend)
         ]
         self.connections.update(
             {backend.id: _backend_address(backend.address) for backend in usable},
-            {backend.id: self._accepted(backend) for backend in usable},
+            {backend.id: self._max_connections(backend) for backend in usable},
         )
 
-    def _terms(self) -> tuple[object, ...]:
+    def _connection_config(self) -> tuple[object, ...]:
         """What the configuration says of connections: while it is the same, they are."""
         services = self._table.services
         return self._table.evacuated, {name: service.max_connections for name, service in services.items()}
 
-    def _connectable(self, backend: Backend) -> bool:
+    def _is_connectable(self, backend: Backend) -> bool:
         return backend.state is BackendState.READY and backend.zone not in self._table.evacuated
 
-    def _accepted(self, backend: Backend) -> int:
+    def _max_connections(self, backend: Backend) -> int:
         service = self._table.services.get(backend.service)
         return 0 if service is None else service.max_connections
 
-    def _note_ready(self, was_ready: bool) -> None:
+    def _publish_ready_change(self, was_ready: bool) -> None:
         if self.ready != was_ready:
             log_event("dataplane:ready", ready=self.ready)
             self.on_ready_changed(self.ready)
 
-    def _sweep(self) -> None:
+    def _run_maintenance(self) -> None:
         while True:
-            gevent.sleep(SWEEP_INTERVAL_S)
+            gevent.sleep(MAINTENANCE_INTERVAL_S)
             now = time.monotonic()
             self.connections.close_idle(now)
             self.selector.report_silent_backends(now)
             for backend_id in self.selector.unreachable_backends(now):
-                if backend_id not in self._probed:
-                    self._probed.add(backend_id)
+                if backend_id not in self._probing:
+                    self._probing.add(backend_id)
                     gevent.spawn(self._probe, backend_id)
 
     def _probe(self, backend_id: str) -> None:
@@ -231,11 +233,11 @@
             if pool is not None and pool.try_connect(time.monotonic()):
                 self.selector.record_reachable(backend_id, time.monotonic())
         finally:
-            self._probed.discard(backend_id)
+            self._probing.discard(backend_id)
 
 
 # All backends are looked at where the configuration says something else of them.
-_backend_address = lru_cache(maxsize=KNOWN_ADDRESSES)(parse_address)
+_backend_address = lru_cache(maxsize=ADDRESS_CACHE_SIZE)(parse_address)
 
 
 def _profile(service: Service) -> ServiceProfile:
--- a/src/nettledeal/dataplane/attempt_end.py
+++ b/src/nettledeal/dataplane/attempt_result.py
@@ -6,11 +6,11 @@
 from http import HTTPStatus
 
 from nettledeal.common.errors import ErrorCode, ServingError
-from nettledeal.dataplane.backend_answer import BackendAnswer
+from nettledeal.dataplane.backend_response import BackendResponse
 from nettledeal.dataplane.selection import AttemptOutcome
 
 # What a client takes for a promise that its request has not run and never will.
-PROMISES = frozenset(
+NOT_EXECUTED_STATUSES = frozenset(
     (
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.MISDIRECTED_REQUEST,
@@ -20,30 +20,32 @@
 )
 
 
-class AttemptEnd(Enum):
+class AttemptResult(Enum):
     """What is certain after an attempt."""
 
-    ANSWERED = auto()  # the client has its whole answer
+    RESPONDED = auto()  # the client has its whole answer
     NOT_SENT = auto()  # no byte reached the backend
     NOT_EXECUTED = auto()  # the backend says that it did not run it
     BROKEN = auto()  # it may have run
 
 
-def is_refusal(answer: BackendAnswer) -> bool:
+def is_refusal(response: BackendResponse) -> bool:
     """Whether the backend gives the promise with a status that says so, so that another may be asked."""
-    return answer.not_executed and answer.status in PROMISES
+    return response.not_executed and response.status in NOT_EXECUTED_STATUSES
 
 
-def attempt_outcome(answer: BackendAnswer, end: AttemptEnd, names_version: bool) -> AttemptOutcome:
+def attempt_outcome(
+    response: BackendResponse, result: AttemptResult, expects_version: bool
+) -> AttemptOutcome:
     """What an attempt with this answer says of its backend.
 
     421 says that another one has the address, unless the client named a version of the weights: then it may
     as well say that this backend has other ones.
     """
-    if end is AttemptEnd.NOT_EXECUTED:
-        gone = answer.status == HTTPStatus.MISDIRECTED_REQUEST and not names_version
-        return AttemptOutcome.REPLACED if gone else AttemptOutcome.REFUSED
-    if end is AttemptEnd.ANSWERED and answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+    if result is AttemptResult.NOT_EXECUTED:
+        replaced = response.status == HTTPStatus.MISDIRECTED_REQUEST and not expects_version
+        return AttemptOutcome.REPLACED if replaced else AttemptOutcome.REFUSED
+    if result is AttemptResult.RESPONDED and response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return AttemptOutcome.COMPLETED
     return AttemptOutcome.FAILED
 
--- a/src/nettledeal/dataplane/backend_answer.py
+++ b/src/nettledeal/dataplane/backend_response.py
@@ -7,18 +7,18 @@
 
 import httptools
 
-from nettledeal.dataplane.backend_connections import MAX_ANSWER_HEAD_BYTES, BackendConnection
+from nettledeal.dataplane.backend_connections import MAX_RESPONSE_HEAD_BYTES, BackendConnection
 from nettledeal.net.protocol.bodies import BodyUntilClose
 from nettledeal.net.protocol.framing import Malformed, Message
 
-MOST_INTERIM = 8
-MOST_SURPLUS = 4
-MAX_ANSWER_BYTES = 1 << 40
+MAX_INTERIM_RESPONSES = 8
+MAX_UNRELATED_RESPONSES = 4
+MAX_RESPONSE_BYTES = 1 << 40
 # A body of up to so many bytes is read whole before any of it goes on.
-GATHERED_BYTES = 256 * 1024
+MAX_BUFFERED_BODY_BYTES = 256 * 1024
 
 
-class BackendAnswer:
+class BackendResponse:
     """Reads the answer to one request from a connection; answers to other requests are skipped.
 
     All reading raises OSError where the connection breaks and Malformed where bytes form no answer. Where the
@@ -30,18 +30,18 @@
         connection: BackendConnection,
         request_id: bytes,
         bodiless: bool,
-        still_there: Callable[[], bool] = lambda: True,
+        keep_waiting: Callable[[], bool] = lambda: True,
     ):
         self.connection = connection
-        self.still_there = still_there
-        self.heard: Callable[[], None] = lambda: None  # called whenever more of it has come
+        self.keep_waiting = keep_waiting
+        self.on_received: Callable[[], None] = lambda: None  # called whenever more of it has come
         self.request_id = request_id
         self.bodiless = bodiless
-        self.message = self._message()
-        self.surplus = 0
-        self._taken = 0  # pieces of the body that have been handed out
-        self._used = 0  # bytes of the buffer that belong to the answer
-        self._whole = False
+        self.message = self._new_message()
+        self.unrelated_count = 0
+        self._body_taken = 0  # pieces of the body that have been handed out
+        self._response_end = 0  # bytes of the buffer that belong to the answer
+        self._complete = False
 
     def read_head(self) -> None:
         """Return once the head of the answer to our request has come."""
@@ -50,7 +50,7 @@
             if self.message.headers.get(b"request-id") == self.request_id:
                 self._check_framing()
                 return
-            self._skip_surplus()
+            self._skip_unrelated_response()
 
     @property
     def status(self) -> int:
@@ -76,12 +76,12 @@
         """The value of a header by its name in lower case; empty when it is missing."""
         return self.message.headers.get(name, b"")
 
-    def retry_after_s(self, otherwise: float) -> float:
+    def retry_after_s(self, default_s: float) -> float:
         """The seconds that the backend tells to wait, `otherwise` where it tells none."""
         try:
             return max(0.0, float(self.header(b"retry-after")))
         except ValueError:
-            return otherwise
+            return default_s
 
     @property
     def is_event_stream(self) -> bool:
@@ -89,9 +89,12 @@
         return self.message.headers.get(b"content-type", b"").lower().startswith(b"text/event-stream")
 
     @property
-    def is_gathered(self) -> bool:
+    def is_buffered(self) -> bool:
         """Whether the body is small enough to be read whole before it goes on."""
-        return self.message.reader is None or (self.message.length or GATHERED_BYTES + 1) <= GATHERED_BYTES
+        return (
+            self.message.reader is None
+            or (self.message.length or MAX_BUFFERED_BODY_BYTES + 1) <= MAX_BUFFERED_BODY_BYTES
+        )
 
     @property
     def length(self) -> int | None:
@@ -105,14 +108,18 @@
         return int(text) if text.isdigit() else 0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """All of the answer has been read."""
-        return self._whole
+        return self._complete
 
     @property
     def leaves_connection_usable(self) -> bool:
         """The answer is whole, nothing came behind it or before it, and the backend keeps the connection."""
-        clean = self._whole and self._used == self.connection.inbox.filled and not self.surplus
+        clean = (
+            self._complete
+            and self._response_end == self.connection.read_buffer.filled
+            and not self.unrelated_count
+        )
         return clean and self.message.keeps and not isinstance(self.message.reader, BodyUntilClose)
 
     def head_fields(self) -> bytes:
@@ -121,98 +128,100 @@
 
     def read_body(self) -> memoryview | bytes:
         """The whole body."""
-        while not self._whole:
+        while not self._complete:
             self._read_more()
         return self.message.body
 
     def read_pieces(self) -> list[bytes]:
         """What has come of a long body; blocks until something has. Empty once the body is whole."""
         pieces = self._take_pieces()
-        while not pieces and not self._whole:
+        while not pieces and not self._complete:
             self._read_more()
             pieces = self._take_pieces()
         return pieces
 
     def _read_more(self) -> None:
         """Read on in the body; one without a length is whole once its connection ends in order."""
-        if self._receive():
-            self._look()
+        if self._read_available():
+            self._parse()
         elif self.message.ended():
-            self._whole = True
+            self._complete = True
         else:
             raise ConnectionResetError("the answer broke off")
 
-    def _receive(self) -> int:
+    def _read_available(self) -> int:
         """The number of bytes that came, 0 at the end of the connection."""
         while True:
             try:
-                read = self.connection.inbox.read(self.connection.sock, self.message.whole, self.message.kept)
-                self.heard()
+                read = self.connection.read_buffer.read(
+                    self.connection.sock, self.message.whole, self.message.kept
+                )
+                self.on_received()
                 return read
             except TimeoutError:
-                if not self.still_there():
+                if not self.keep_waiting():
                     raise
 
     def _take_pieces(self) -> list[bytes]:
         message = self.message
         if message.reader is None:
-            if not self._whole or self._taken:
+            if not self._complete or self._body_taken:
                 return []
-            self._taken = 1
+            self._body_taken = 1
             return [bytes(message.body)] if len(message.body) else []
         pieces = list(message.pieces)
         message.pieces.clear()
         return pieces
 
-    def _message(self) -> Message:
+    def _new_message(self) -> Message:
         return Message(
             httptools.HttpResponseParser,
-            MAX_ANSWER_BYTES,
+            MAX_RESPONSE_BYTES,
             bare=self.bodiless,
-            most_head=MAX_ANSWER_HEAD_BYTES,
+            most_head=MAX_RESPONSE_HEAD_BYTES,
         )
 
-    def _look(self) -> None:
-        inbox = self.connection.inbox
-        used = self.message.look(inbox.buffer, inbox.filled)
+    def _parse(self) -> None:
+        read_buffer = self.connection.read_buffer
+        used = self.message.look(read_buffer.buffer, read_buffer.filled)
         if used is not None:
-            self._used = used
-            self._whole = True
+            self._response_end = used
+            self._complete = True
 
     def _read_one_head(self) -> None:
-        inbox = self.connection.inbox
-        for _ in range(MOST_INTERIM):
-            if inbox.filled:
-                self._look()
+        read_buffer = self.connection.read_buffer
+        for _ in range(MAX_INTERIM_RESPONSES):
+            if read_buffer.filled:
+                self._parse()
             while not self.message.head:
-                if not self._receive():
+                if not self._read_available():
                     raise ConnectionResetError("no answer")
-                self._look()
+                self._parse()
             if self.message.status >= HTTPStatus.OK:
                 return
             self._next_message(self.message.head)
         raise Malformed(HTTPStatus.BAD_GATEWAY, "interim answers without end")
 
-    def _skip_surplus(self) -> None:
+    def _skip_unrelated_response(self) -> None:
         """Read past an answer that belongs to another request."""
-        self.surplus += 1
-        if self.surplus > MOST_SURPLUS or b"request-id" not in self.message.headers:
+        self.unrelated_count += 1
+        if self.unrelated_count > MAX_UNRELATED_RESPONSES or b"request-id" not in self.message.headers:
             raise Malformed(HTTPStatus.BAD_GATEWAY, "no answer to this request")
         self._check_framing()
-        while not self._whole:
+        while not self._complete:
             self.read_pieces()
-        self._next_message(self._used)
+        self._next_message(self._response_end)
 
     def _next_message(self, used: int) -> None:
-        self.connection.inbox.next(used)
-        self.message = self._message()
-        self._whole = False
-        self._taken = 0
-        self._used = 0
+        self.connection.read_buffer.next(used)
+        self.message = self._new_message()
+        self._complete = False
+        self._body_taken = 0
+        self._response_end = 0
 
     def _check_framing(self) -> None:
         message = self.message
-        says_so = message.dated or b"close" in message.connection
-        if isinstance(message.reader, BodyUntilClose) and not says_so:
+        end_is_declared = message.dated or b"close" in message.connection
+        if isinstance(message.reader, BodyUntilClose) and not end_is_declared:
             # Without a word of it, one that ends with its connection may as well never end.
             raise Malformed(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
--- a/src/nettledeal/dataplane/call_description.py
+++ b/src/nettledeal/dataplane/call_description.py
@@ -16,12 +16,12 @@
     A tenant's request is described by the ids of its separated prompt. Raises ServingError with
     UNPROVEN_TENANT where a request of a tenant's route was not admitted as a tenant's.
     """
-    prompt_tokens, output_tokens = _token_usage(request.header(b"token-usage"))
+    prompt_tokens, output_tokens = _parse_token_usage(request.header(b"token-usage"))
     return CallDescription(
         route_name=target.route.name,
         service=service,
         home_regions=target.home_regions,
-        prompt_parts=_parts_of(request, target),
+        prompt_parts=_prompt_parts(request, target),
         prompt_tokens=prompt_tokens,
         output_tokens=output_tokens,
         priority=target.route.priority,
@@ -31,28 +31,28 @@
     )
 
 
-def _parts_of(request: ClientRequest, target: RouteTarget) -> tuple[PromptPart, ...]:
+def _prompt_parts(request: ClientRequest, target: RouteTarget) -> tuple[PromptPart, ...]:
     if request.separated is not None:
         return request.separated.parts
     if target.of_tenants:
         raise ServingError(ErrorCode.UNPROVEN_TENANT, "describe call", target.route.name)
-    return _prompt_parts(request.header(b"prompt-prefix"))
+    return _parse_prompt_prefix(request.header(b"prompt-prefix"))
 
 
-def _token_usage(value: bytes) -> tuple[int, int]:
+def _parse_token_usage(value: bytes) -> tuple[int, int]:
     prompt, _, output = value.partition(b",")
-    return _count(prompt), _count(output)
+    return _parse_count(prompt), _parse_count(output)
 
 
-def _prompt_parts(value: bytes) -> tuple[PromptPart, ...]:
+def _parse_prompt_prefix(value: bytes) -> tuple[PromptPart, ...]:
     parts = []
     for item in value.decode("latin-1").split(",") if value else ():
         part_id, _, tokens = item.strip().partition(":")
         if part_id:
-            parts.append(PromptPart(part_id, _count(tokens.encode("latin-1"))))
+            parts.append(PromptPart(part_id, _parse_count(tokens.encode("latin-1"))))
     return tuple(parts)
 
 
-def _count(text: bytes) -> int:
+def _parse_count(text: bytes) -> int:
     text = text.strip()
     return int(text) if text.isdigit() and len(text) < 10 else 0
--- a/src/nettledeal/dataplane/client_request.py
+++ b/src/nettledeal/dataplane/client_request.py
@@ -12,13 +12,13 @@
 if TYPE_CHECKING:
     from nettledeal.tenancy.prompts import SeparatedPrompt
 
-MILLISECONDS = 1000.0
-LONGEST_DEADLINE_S = 3600.0
+MS_PER_S = 1000.0
+MAX_DEADLINE_S = 3600.0
 # Headers that are worded anew for each attempt at a backend.
-_REPLACED = (b"deadline-ms", b"expect-instance", b"priority")
-_REPLACED_ON_RESUME = (*_REPLACED, b"last-event-id")
+_PER_ATTEMPT_HEADERS = (b"deadline-ms", b"expect-instance", b"priority")
+_PER_ATTEMPT_HEADERS_ON_RESUME = (*_PER_ATTEMPT_HEADERS, b"last-event-id")
 # What proves a tenant goes no further than this agent.
-_OF_TENANT = (b"tenant", b"tenant-token")
+_TENANT_HEADERS = (b"tenant", b"tenant-token")
 _PROMPT_PREFIX = b"prompt-prefix"
 _BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")
 
@@ -29,7 +29,7 @@
     def __init__(self, max_header_bytes: int, max_body_bytes: int):
         self.message = Message(httptools.HttpRequestParser, max_body_bytes, most_head=max_header_bytes)
         self.received_at = 0.0
-        self.continued = False
+        self.continue_sent = False
         self.separated: SeparatedPrompt | None = None  # of a tenant's request, once that is admitted
         self.rewrites_prompt = False
 
@@ -74,7 +74,7 @@
         return self.header(b"request-id")
 
     @property
-    def names_version(self) -> bool:
+    def expects_version(self) -> bool:
         """Whether the client wants a certain version of the backend's weights."""
         return bool(self.header(b"expect-version"))
 
@@ -92,27 +92,27 @@
         """How long the client waits, in seconds from its request, bounded by the route's timeout."""
         text = self.header(b"deadline-ms")
         try:
-            asked = float(text) / MILLISECONDS if text else LONGEST_DEADLINE_S
+            requested_s = float(text) / MS_PER_S if text else MAX_DEADLINE_S
         except ValueError:
-            asked = LONGEST_DEADLINE_S
-        if not 0.0 <= asked <= LONGEST_DEADLINE_S:
-            asked = LONGEST_DEADLINE_S
-        return min(asked, route_timeout_s)
+            requested_s = MAX_DEADLINE_S
+        if not 0.0 <= requested_s <= MAX_DEADLINE_S:
+            requested_s = MAX_DEADLINE_S
+        return min(requested_s, route_timeout_s)
 
     def parts_for(
-        self, instance: str, priority: int, left_s: float, last_event_id: bytes | None = None
+        self, instance: str, priority: int, remaining_s: float, last_event_id: bytes | None = None
     ) -> list[bytes | memoryview]:
         """The request as one backend gets it; `last_event_id` takes up a stream behind that event."""
         message = self.message
-        replaced = _REPLACED if last_event_id is None else _REPLACED_ON_RESUME
+        replaced = _PER_ATTEMPT_HEADERS if last_event_id is None else _PER_ATTEMPT_HEADERS_ON_RESUME
         if self.separated is not None:
-            replaced += _OF_TENANT
+            replaced += _TENANT_HEADERS
             replaced += (_PROMPT_PREFIX,) if self.rewrites_prompt else ()
         lines = [
             b"%b %b HTTP/1.1\r\n" % (message.method, message.url),
             message.passed_on(*replaced),
             b"Deadline-Ms: %d\r\nExpect-Instance: %b\r\nPriority: %d\r\n"
-            % (max(1, int(left_s * MILLISECONDS)), instance.encode("latin-1"), priority),
+            % (max(1, int(remaining_s * MS_PER_S)), instance.encode("latin-1"), priority),
         ]
         if last_event_id is not None:
             lines.append(b"Last-Event-Id: %b\r\n" % last_event_id)
--- a/src/nettledeal/dataplane/draining.py
+++ b/src/nettledeal/dataplane/draining.py
@@ -33,15 +33,15 @@
 
     def run(self) -> None:
         """Return once every request has its answer, at the latest shortly before the grace is over."""
-        while not self._clients_gone(time.monotonic()):
+        while not self._may_stop_accepting(time.monotonic()):
             gevent.sleep(CHECK_INTERVAL_S)
         self.ingress.stop_accepting()
         self.ingress.close_idle()
-        while self.ingress.busy and time.monotonic() < self.end_by:
+        while self.ingress.busy_connections and time.monotonic() < self.end_by:
             gevent.sleep(CHECK_INTERVAL_S)
             self.ingress.close_idle()
 
-    def _clients_gone(self, now: float) -> bool:
+    def _may_stop_accepting(self, now: float) -> bool:
         if now >= self.accept_until:
             return True
-        return now >= self.quiet_after and now - self.ingress.last_arrival_at >= QUIET_S
+        return now >= self.quiet_after and now - self.ingress.last_accepted_at >= QUIET_S
--- a/src/nettledeal/dataplane/event_stream.py
+++ b/src/nettledeal/dataplane/event_stream.py
@@ -21,7 +21,7 @@
             return b""
         whole = self.partial[: end + len(_END)]
         self.partial = self.partial[end + len(_END) :]
-        self._note_id(whole)
+        self._update_last_id(whole)
         return whole
 
     def take_partial(self) -> bytes:
@@ -30,7 +30,7 @@
         rest, self.partial = self.partial, b""
         return rest
 
-    def _note_id(self, whole: bytes) -> None:
+    def _update_last_id(self, whole: bytes) -> None:
         at = whole.rfind(b"\n" + _ID)
         if at >= 0:
             at += 1
--- a/src/nettledeal/dataplane/forwarding.py
+++ b/src/nettledeal/dataplane/forwarding.py
@@ -16,23 +16,23 @@
 import gevent
 
 from nettledeal.common.errors import ErrorCode, ServingError
-from nettledeal.dataplane.answer_relay import AnswerRelay, ClientLeft, ClientSide
-from nettledeal.dataplane.attempt_end import (
-    PROMISES,
-    AttemptEnd,
+from nettledeal.dataplane.attempt_result import (
+    NOT_EXECUTED_STATUSES,
+    AttemptResult,
     attempt_outcome,
     connect_outcome,
     is_refusal,
 )
-from nettledeal.dataplane.backend_answer import BackendAnswer
-from nettledeal.dataplane.backend_connections import MOST_IDLE_S, BackendConnection, BackendConnections
-from nettledeal.dataplane.budgets import RetryBudget
+from nettledeal.dataplane.backend_connections import MAX_IDLE_LIMIT_S, BackendConnection, BackendConnections
+from nettledeal.dataplane.backend_response import BackendResponse
 from nettledeal.dataplane.call_description import describe_call
 from nettledeal.dataplane.client_request import ClientRequest
+from nettledeal.dataplane.response_relay import ClientDisconnected, ClientWriter, ResponseRelay
+from nettledeal.dataplane.retry_budget import RetryBudget
 from nettledeal.dataplane.routing_table import RouteTarget
 from nettledeal.dataplane.selection import AttemptOutcome, Backend, CallDescription, Refusal, Selector
 from nettledeal.dataplane.server_load import LOAD_HEADER, read_server_load
-from nettledeal.dataplane.silence import SilenceCheck
+from nettledeal.dataplane.silence_check import SilenceCheck
 from nettledeal.dataplane.stream_pauses import StreamPauses
 from nettledeal.net.protocol.framing import Malformed
 from nettledeal.net.transport.buffers import OutOfMemory
@@ -44,17 +44,17 @@
 # What the backend may not use of the time left, so that its last word can still reach the client.
 DEADLINE_MARGIN_S = 0.02
 # With less time than this left, no attempt begins.
-LEAST_ATTEMPT_S = 0.005
+MIN_ATTEMPT_S = 0.005
 DEFAULT_RETRY_AFTER_S = 0.25
 # Another backend has the address: the list that says so is on its way.
 MISDIRECTED_RETRY_AFTER_S = 0.8
-MOST_UNREACHABLE = 4
+MAX_ATTEMPTS_NOT_SENT = 4
 
 
-class WatchedClient(ClientSide, Protocol):
+class WatchedClient(ClientWriter, Protocol):
     """A client's connection that tells when the client leaves."""
 
-    def watch(self, left: Callable[[], None]) -> None:
+    def watch(self, on_disconnect: Callable[[], None]) -> None:
         """Call `left` once the client closes its connection."""
 
     def unwatch(self) -> None:
@@ -98,13 +98,13 @@
         self.client = client
         self.service = target.pick_service(forwarding.random)
         request.rewrites_prompt = self.service in forwarding.rewritten_services
-        self.relay = AnswerRelay(client, request.request_id, target.resumable)
+        self.relay = ResponseRelay(client, request.request_id, target.resumable)
         self.deadline = request.received_at + request.deadline_s(target.timeout_s)
         self.call: CallDescription = describe_call(request, target, self.service, len(request.message.body))
-        self.arrivals = 0
+        self.attempts_sent = 0
         self.attempts_not_sent = 0
-        self.may_have_run = False
-        self.client_left = False
+        self.may_have_executed = False
+        self.client_disconnected = False
         self.retry_after_s = DEFAULT_RETRY_AFTER_S
         self.excluded: set[str] = set()
         self.connection: BackendConnection | None = None
@@ -112,9 +112,9 @@
     def run(self) -> None:
         """Attempt until there is a final answer."""
         now = time.monotonic()
-        self.forwarding.budget.earn(self.service, now)
+        self.forwarding.budget.record_request(self.service, now)
         timer = gevent.Timeout(max(0.0, self.deadline - now))
-        self.client.watch(self._leave)
+        self.client.watch(self._on_client_disconnected)
         timer.start()
         try:
             self._run_attempts()
@@ -130,7 +130,7 @@
     def _run_attempts(self) -> None:
         while True:
             now = time.monotonic()
-            if self.deadline - now < LEAST_ATTEMPT_S:
+            if self.deadline - now < MIN_ATTEMPT_S:
                 return self._time_out()
             choice = self.forwarding.selector.choose(self.call, now, self.excluded)
             if isinstance(choice, Refusal):
@@ -138,29 +138,29 @@
                 return self._give_up()
             if not self._may_attempt(now):
                 return self._give_up()
-            end = self._attempt(choice, now)
+            result = self._attempt(choice, now)
             self.excluded.add(choice.id)
-            if end is AttemptEnd.ANSWERED:
+            if result is AttemptResult.RESPONDED:
                 return None
-            if end is AttemptEnd.BROKEN:
-                self.may_have_run = True
-                if not self._may_repeat():
+            if result is AttemptResult.BROKEN:
+                self.may_have_executed = True
+                if not self._may_retry():
                     return self._give_up()
 
     def _may_attempt(self, now: float) -> bool:
         """Whether one more attempt is within the bound of the route and the budget, which pays for it."""
-        if self.attempts_not_sent >= MOST_UNREACHABLE:
+        if self.attempts_not_sent >= MAX_ATTEMPTS_NOT_SENT:
             return False
-        if self.arrivals == 0:
+        if self.attempts_sent == 0:
             return True
-        if self.arrivals >= self.target.route.max_attempts:
+        if self.attempts_sent >= self.target.route.max_attempts:
             return False
         return self.forwarding.budget.try_spend(self.service, now)
 
-    def _may_repeat(self) -> bool:
-        return self.target.repeatable and (not self.relay.begun or self.relay.resumable)
+    def _may_retry(self) -> bool:
+        return self.target.repeatable and (not self.relay.started or self.relay.resumable)
 
-    def _attempt(self, backend: Backend, now: float) -> AttemptEnd:
+    def _attempt(self, backend: Backend, now: float) -> AttemptResult:
         selector = self.forwarding.selector
         attempt = selector.start_attempt(backend.id, self.call, now)
         if self.request.separated is not None:
@@ -171,36 +171,36 @@
                 self.connection = self._connect(backend.id, now)
             except ServingError as error:
                 outcome = connect_outcome(error)
-                return self._not_sent()
-            silence = SilenceCheck(selector, attempt, self.connection, self._could_repeat)
-            answer = self._send(backend.id, self.connection, silence)
-            if answer is None:
+                return self._record_not_sent()
+            silence_check = SilenceCheck(selector, attempt, self.connection, self._could_retry)
+            response = self._send(backend.id, self.connection, silence_check)
+            if response is None:
                 outcome = AttemptOutcome.NOT_SENT
-                return self._not_sent()
-            silence.expect_head()
-            answer.read_head()
+                return self._record_not_sent()
+            silence_check.on_request_sent()
+            response.read_head()
             selector.record_first_event(
-                attempt, time.monotonic(), read_server_load(answer.header(LOAD_HEADER))
+                attempt, time.monotonic(), read_server_load(response.header(LOAD_HEADER))
             )
-            silence.expect_events(self.target.resumable)
-            if answer.is_event_stream:
-                answer.heard = StreamPauses(selector, attempt).heard
-            end = self._take(answer)
-            outcome = attempt_outcome(answer, end, self.request.names_version)
-            return end
+            silence_check.on_head_received(self.target.resumable)
+            if response.is_event_stream:
+                response.on_received = StreamPauses(selector, attempt).on_received
+            result = self._handle_response(response)
+            outcome = attempt_outcome(response, result, self.request.expects_version)
+            return result
         except gevent.Timeout:
             outcome = AttemptOutcome.TIMED_OUT
             raise
-        except ClientLeft:
+        except ClientDisconnected:
             outcome = AttemptOutcome.CANCELLED
             raise
         except (OSError, Malformed, OutOfMemory) as error:
-            if self.client_left:
+            if self.client_disconnected:
                 outcome = AttemptOutcome.CANCELLED
-                raise ClientLeft from None
+                raise ClientDisconnected from None
             if self.connection is not None and attempt.first_event_at is None:
-                self.connection.broke(error, time.monotonic())
-            return AttemptEnd.BROKEN
+                self.connection.record_break(error, time.monotonic())
+            return AttemptResult.BROKEN
         finally:
             self._disconnect()
             selector.finish_attempt(attempt, outcome, time.monotonic())
@@ -211,81 +211,81 @@
         if pool is None:
             raise ServingError(ErrorCode.UNAVAILABLE, "connect to backend", "not in use", backend_id)
         try:
-            rest_s = MOST_IDLE_S
+            max_idle_s = MAX_IDLE_LIMIT_S
             if not self.target.repeatable:
-                rest_s = self.forwarding.selector.max_idle_s(backend_id, now)
-            connection = pool.acquire(now, self.deadline - now, rest_s)
+                max_idle_s = self.forwarding.selector.max_idle_s(backend_id, now)
+            connection = pool.acquire(now, self.deadline - now, max_idle_s)
         except ServingError:
-            if self.client_left:
-                raise ClientLeft from None
+            if self.client_disconnected:
+                raise ClientDisconnected from None
             raise
-        if self.client_left:
+        if self.client_disconnected:
             connection.close()
-            raise ClientLeft
+            raise ClientDisconnected
         return connection
 
-    def _not_sent(self) -> AttemptEnd:
+    def _record_not_sent(self) -> AttemptResult:
         self.attempts_not_sent += 1
-        if self.arrivals:
-            self.forwarding.budget.give_back(self.service)
-        return AttemptEnd.NOT_SENT
+        if self.attempts_sent:
+            self.forwarding.budget.refund(self.service)
+        return AttemptResult.NOT_SENT
 
     def _send(
-        self, backend_id: str, connection: BackendConnection, silence: SilenceCheck
-    ) -> BackendAnswer | None:
+        self, backend_id: str, connection: BackendConnection, silence_check: SilenceCheck
+    ) -> BackendResponse | None:
         """Send the request; None if the connection took no byte of it."""
-        left_s = self.deadline - time.monotonic() - DEADLINE_MARGIN_S
+        remaining_s = self.deadline - time.monotonic() - DEADLINE_MARGIN_S
         parts = self.request.parts_for(
-            backend_id, self.target.route.priority, left_s, self.relay.last_event_id
+            backend_id, self.target.route.priority, remaining_s, self.relay.last_event_id
         )
         try:
             sent = connection.sock.sendmsg(parts)
         except OSError:
-            if self.client_left:
+            if self.client_disconnected:
                 raise
             return None
-        self.arrivals += 1
+        self.attempts_sent += 1
         if sent < sum(map(len, parts)):
             send_all(connection.sock, [memoryview(b"".join(parts))[sent:]])
         bodiless = self.request.method == b"HEAD"
-        return BackendAnswer(connection, self.request.request_id, bodiless, silence.still_there)
+        return BackendResponse(connection, self.request.request_id, bodiless, silence_check.keep_waiting)
 
-    def _take(self, answer: BackendAnswer) -> AttemptEnd:
+    def _handle_response(self, response: BackendResponse) -> AttemptResult:
         """Go by the head of an answer."""
-        status = answer.status
-        if is_refusal(answer):
-            self._note_retry_after(answer)
-            self._finish_reading(answer)
-            return AttemptEnd.NOT_EXECUTED
-        if status in PROMISES or self.relay.begun and not answer.is_event_stream:
-            self._finish_reading(answer)
-            return AttemptEnd.BROKEN
-        if status < HTTPStatus.MULTIPLE_CHOICES and not answer.is_signed:
-            return AttemptEnd.BROKEN
-        if status >= HTTPStatus.INTERNAL_SERVER_ERROR and self._could_repeat():
-            self._finish_reading(answer)
-            return AttemptEnd.BROKEN
-        self.relay.relay(answer)
-        self._release(answer)
-        return AttemptEnd.ANSWERED
-
-    def _could_repeat(self) -> bool:
+        status = response.status
+        if is_refusal(response):
+            self._update_retry_after(response)
+            self._drain_body(response)
+            return AttemptResult.NOT_EXECUTED
+        if status in NOT_EXECUTED_STATUSES or self.relay.started and not response.is_event_stream:
+            self._drain_body(response)
+            return AttemptResult.BROKEN
+        if status < HTTPStatus.MULTIPLE_CHOICES and not response.is_signed:
+            return AttemptResult.BROKEN
+        if status >= HTTPStatus.INTERNAL_SERVER_ERROR and self._could_retry():
+            self._drain_body(response)
+            return AttemptResult.BROKEN
+        self.relay.relay(response)
+        self._release(response)
+        return AttemptResult.RESPONDED
+
+    def _could_retry(self) -> bool:
         """Whether a failure at this backend may be mended at another one."""
-        more = self.arrivals < self.target.route.max_attempts
+        more = self.attempts_sent < self.target.route.max_attempts
         now = time.monotonic()
-        return more and self._may_repeat() and self.forwarding.budget.available(self.service, now) >= 1.0
+        return more and self._may_retry() and self.forwarding.budget.available(self.service, now) >= 1.0
 
-    def _finish_reading(self, answer: BackendAnswer) -> None:
+    def _drain_body(self, response: BackendResponse) -> None:
         """Read the rest of a short answer that is not passed on, so that its connection can be kept."""
-        if answer.is_gathered:
-            answer.read_body()
-            self._release(answer)
+        if response.is_buffered:
+            response.read_body()
+            self._release(response)
 
-    def _release(self, answer: BackendAnswer) -> None:
+    def _release(self, response: BackendResponse) -> None:
         connection = self.connection
-        if connection is None or not answer.leaves_connection_usable:
+        if connection is None or not response.leaves_connection_usable:
             return
-        connection.heed_keep_alive(answer.keep_alive)
+        connection.apply_keep_alive(response.keep_alive)
         self.connection = None
         connection.release(time.monotonic())
 
@@ -294,25 +294,25 @@
             self.connection.close()
             self.connection = None
 
-    def _note_retry_after(self, answer: BackendAnswer) -> None:
-        misdirected = answer.status == HTTPStatus.MISDIRECTED_REQUEST
-        usual_s = MISDIRECTED_RETRY_AFTER_S if misdirected else DEFAULT_RETRY_AFTER_S
-        self.retry_after_s = answer.retry_after_s(usual_s)
+    def _update_retry_after(self, response: BackendResponse) -> None:
+        replaced = response.status == HTTPStatus.MISDIRECTED_REQUEST
+        default_s = MISDIRECTED_RETRY_AFTER_S if replaced else DEFAULT_RETRY_AFTER_S
+        self.retry_after_s = response.retry_after_s(default_s)
 
     def _give_up(self) -> None:
-        if self.may_have_run:
-            self.relay.answer_directly(HTTPStatus.BAD_GATEWAY)
+        if self.may_have_executed:
+            self.relay.respond_directly(HTTPStatus.BAD_GATEWAY)
         else:
-            self.relay.answer_directly(HTTPStatus.SERVICE_UNAVAILABLE, self.retry_after_s)
+            self.relay.respond_directly(HTTPStatus.SERVICE_UNAVAILABLE, self.retry_after_s)
 
     def _time_out(self) -> None:
-        if self.may_have_run or self.arrivals:
-            self.relay.answer_directly(HTTPStatus.GATEWAY_TIMEOUT)
+        if self.may_have_executed or self.attempts_sent:
+            self.relay.respond_directly(HTTPStatus.GATEWAY_TIMEOUT)
         else:
-            self.relay.answer_directly(HTTPStatus.SERVICE_UNAVAILABLE, self.retry_after_s)
+            self.relay.respond_directly(HTTPStatus.SERVICE_UNAVAILABLE, self.retry_after_s)
 
-    def _leave(self) -> None:
+    def _on_client_disconnected(self) -> None:
         """The client has closed its connection: called by the loop, so nothing here waits."""
-        self.client_left = True
+        self.client_disconnected = True
         if self.connection is not None:
             self.connection.close()
--- a/src/nettledeal/dataplane/idle_limit.py
+++ b/src/nettledeal/dataplane/idle_limit.py
@@ -9,9 +9,9 @@
 # Of the rest after which a connection was found forgotten, what others may rest.
 SAFE_SHARE = 0.5
 # A backend that ends under a request looks the same, whatever the rest was: no less than this is learned.
-LEAST_IDLE_S = 0.02
+MIN_IDLE_LIMIT_S = 0.02
 # After so long without another one forgotten, the backends' own word holds again.
-MEMORY_S = 10.0
+LEARNED_LIMIT_TTL_S = 10.0
 
 
 class LearnedIdleLimit:
@@ -19,14 +19,14 @@
 
     def __init__(self):
         self._limit_s = float("inf")
-        self._until = float("-inf")
+        self._expires_at = float("-inf")
 
     def value_s(self, now: float) -> float:
         """Seconds that a connection may rest; infinite where nothing speaks against it."""
-        return self._limit_s if now < self._until else float("inf")
+        return self._limit_s if now < self._expires_at else float("inf")
 
-    def forgotten(self, rested_s: float, now: float) -> None:
+    def record_reset(self, idle_s: float, now: float) -> None:
         """A connection broke under the first request after a rest of `rested_s`."""
-        limit_s = max(LEAST_IDLE_S, SAFE_SHARE * rested_s)
+        limit_s = max(MIN_IDLE_LIMIT_S, SAFE_SHARE * idle_s)
         self._limit_s = min(self.value_s(now), limit_s)
-        self._until = now + MEMORY_S
+        self._expires_at = now + LEARNED_LIMIT_TTL_S
--- a/src/nettledeal/dataplane/ingress.py
+++ b/src/nettledeal/dataplane/ingress.py
@@ -15,10 +15,10 @@
 from gevent import get_hub, socket
 from gevent.event import Event
 
-from nettledeal.dataplane.answer_relay import ClientLeft
-from nettledeal.dataplane.answers import own_answer
-from nettledeal.dataplane.client_request import LONGEST_DEADLINE_S, ClientRequest
+from nettledeal.dataplane.client_request import MAX_DEADLINE_S, ClientRequest
 from nettledeal.dataplane.forwarding import Forwarding
+from nettledeal.dataplane.response_heads import agent_response
+from nettledeal.dataplane.response_relay import ClientDisconnected
 from nettledeal.dataplane.routing_table import RouteTarget, RoutingTable
 from nettledeal.net.protocol.framing import Malformed
 from nettledeal.net.transport.buffers import MemoryPool, OutOfMemory, ReadBuffer
@@ -26,21 +26,21 @@
 from nettledeal.net.transport.sockets import hung_up, peek, send_all
 from nettledeal.operator_api.configuration import ClientLimits
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 # What was sent and is not acknowledged for so long ends the connection.
-SILENCE_S = 10.0
+UNACKNOWLEDGED_TIMEOUT_S = 10.0
 # After an answer to what was not read whole, for the client to see it before the connection is reset.
 LINGER_S = 0.5
 MEMORY_RETRY_S = 0.25
 # From the start of this process to its first configuration and catalogue where the core machines start too:
 # expected by the first, sure by the second time. Clients come back between them, not all at once.
 EXPECTED_START_S = 2.0
-SURE_START_S = 3.2
-LEAST_STARTING_RETRY_S = 0.8
+MAX_START_S = 3.2
+MIN_STARTING_RETRY_S = 0.8
 # A request that comes before the configuration or the catalogue waits for them, for this share of its time at
 # most: answers may be expected soon, and one that is refused has to be told to come back much later.
 START_WAIT_SHARE = 0.05
-MOST_START_WAIT_S = 0.25
+MAX_START_WAIT_S = 0.25
 ACCEPT_PAUSE_S = 0.05
 _READABLE = 1
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -54,16 +54,16 @@
         limits = table.limits or ClientLimits()
         self.header_bytes = limits.max_header_bytes
         self.body_bytes = limits.max_body_bytes
-        self.header_timeout_s = limits.header_timeout_ms / MILLISECONDS
-        self.idle_timeout_s = limits.idle_timeout_ms / MILLISECONDS
+        self.header_timeout_s = limits.header_timeout_ms / MS_PER_S
+        self.idle_timeout_s = limits.idle_timeout_ms / MS_PER_S
 
 
 class Ingress:
     """The listener for clients and the connections that it has accepted."""
 
-    def __init__(self, forwarding: Forwarding, stock: MemoryPool, max_connections: int):
+    def __init__(self, forwarding: Forwarding, memory_pool: MemoryPool, max_connections: int):
         self.forwarding = forwarding
-        self.stock = stock
+        self.memory_pool = memory_pool
         self.max_connections = max_connections
         self.table = RoutingTable()
         self.limits = RequestLimits(self.table)
@@ -71,46 +71,46 @@
         self.draining = False
         self.has_catalogue = False
         self.started_at = time.monotonic()
-        self.last_arrival_at = 0.0
+        self.last_accepted_at = 0.0
         self.hang_ups = HangUps()
-        self._became_able = Event()
+        self._can_serve_event = Event()
         self._listener: socket.socket | None = None
-        self._accepting: gevent.Greenlet | None = None
+        self._accept_loop: gevent.Greenlet | None = None
 
     def use_table(self, table: RoutingTable) -> None:
         """Take a new table for all requests from here on."""
         self.table = table
         self.limits = RequestLimits(table)
-        self._note_able()
+        self._signal_can_serve()
 
-    def take_catalogue(self) -> None:
+    def set_catalogue_received(self) -> None:
         """Backends are known from here on."""
         self.has_catalogue = True
-        self._note_able()
+        self._signal_can_serve()
 
     @property
-    def able(self) -> bool:
+    def can_serve(self) -> bool:
         """Whether there are a configuration and a catalogue, without which nothing can be served."""
         return self.table.configured and self.has_catalogue
 
-    def await_able(self, timeout_s: float) -> bool:
+    def wait_until_can_serve(self, timeout_s: float) -> bool:
         """Wait until requests can be served; whether they can."""
-        return self.able or (self._became_able.wait(timeout_s) and self.able)
+        return self.can_serve or (self._can_serve_event.wait(timeout_s) and self.can_serve)
 
-    def _note_able(self) -> None:
-        if self.able:
-            self._became_able.set()
+    def _signal_can_serve(self) -> None:
+        if self.can_serve:
+            self._can_serve_event.set()
 
     def start(self, listener: socket.socket) -> None:
         """Accept connections from a listening socket."""
         self._listener = listener
-        self._accepting = gevent.spawn(self._accept, listener)
+        self._accept_loop = gevent.spawn(self._accept, listener)
 
     def stop_accepting(self) -> None:
         """Close the listener; connections go on."""
-        if self._accepting is not None:
-            self._accepting.kill()
-            self._accepting = None
+        if self._accept_loop is not None:
+            self._accept_loop.kill()
+            self._accept_loop = None
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -127,7 +127,7 @@
             connection.close_if_idle()
 
     @property
-    def busy(self) -> int:
+    def busy_connections(self) -> int:
         """Connections with a request that has begun to come or has no answer yet."""
         return sum(not connection.idle for connection in self.connections)
 
@@ -140,11 +140,11 @@
                 gevent.sleep(ACCEPT_PAUSE_S)
                 continue
             if len(self.connections) >= self.max_connections:
-                self._make_room()
-            self.last_arrival_at = time.monotonic()
+                self._close_one_idle()
+            self.last_accepted_at = time.monotonic()
             gevent.spawn(ClientConnection(self, sock).run)
 
-    def _make_room(self) -> None:
+    def _close_one_idle(self) -> None:
         for connection in self.connections:
             if connection.close_if_idle():
                 return
@@ -158,54 +158,56 @@
         self.sock = sock
         self.idle = True
         self.closing = False
-        self.ended = False
+        self.closed = False
         self.pipelined = False  # whether the request under way waited behind another one
-        self._more_waits = False  # bytes behind the request under way, unread
-        self.inbox = ReadBuffer(ingress.stock, ingress.limits.header_bytes + ingress.limits.body_bytes)
+        self._pipelined_unread = False  # bytes behind the request under way, unread
+        self.read_buffer = ReadBuffer(
+            ingress.memory_pool, ingress.limits.header_bytes + ingress.limits.body_bytes
+        )
         self._watcher = None
-        self._left: Callable[[], None] | None = None
+        self._on_disconnect: Callable[[], None] | None = None
         ingress.connections[self] = None
 
     def run(self) -> None:
         """Serve requests until the connection ends."""
         try:
-            self._tune()
+            self._set_socket_options()
             while not self.closing:
-                request = self._receive()
+                request = self._next_request()
                 if request is None:
                     return
                 self._serve(request)
-        except (ClientLeft, OSError):
+        except (ClientDisconnected, OSError):
             pass
         finally:
-            self._end()
+            self._close()
 
     def send(self, parts: list[bytes | memoryview]) -> None:
         """Write to the client. Raises ClientLeft."""
         try:
             send_all(self.sock, parts)
         except OSError:
-            raise ClientLeft from None
+            raise ClientDisconnected from None
 
-    def watch(self, left: Callable[[], None]) -> None:
+    def watch(self, on_disconnect: Callable[[], None]) -> None:
         """Call `left` once the client closes its connection while nothing else reads from it."""
-        self._left = left
+        self._on_disconnect = on_disconnect
         if self._watcher is None:
             self._watcher = get_hub().loop.io(self.sock.fileno(), _READABLE)
         self._watcher.start(self._readable)
 
     def unwatch(self) -> None:
         """Stop watching."""
-        self._left = None
+        self._on_disconnect = None
         if self._watcher is not None:
             self._watcher.stop()
             self.ingress.hang_ups.unwatch(self.sock.fileno())
 
     def close_if_idle(self) -> bool:
         """Close the connection unless it has a request; whether it did."""
-        if not self.idle or self.ended:
+        if not self.idle or self.closed:
             return False
-        self._end()
+        self._close()
         return True
 
     def _readable(self) -> None:
@@ -215,21 +217,21 @@
         self._watcher.stop()
         if seen:
             # More requests wait unread; the client may still leave behind them.
-            self._more_waits = True
-            self.ingress.hang_ups.watch(self.sock.fileno(), self._gone)
+            self._pipelined_unread = True
+            self.ingress.hang_ups.watch(self.sock.fileno(), self._client_disconnected)
         else:
-            self._gone()
+            self._client_disconnected()
 
-    def _gone(self) -> None:
-        if self._left is not None:
+    def _client_disconnected(self) -> None:
+        if self._on_disconnect is not None:
             self.closing = True
-            self._left()
+            self._on_disconnect()
 
-    def _receive(self) -> ClientRequest | None:
+    def _next_request(self) -> ClientRequest | None:
         """The next request; None where the connection ends without one."""
-        self.pipelined = self.inbox.filled > 0 or self._more_waits
-        self._more_waits = False
-        self.idle = not self.inbox.filled
+        self.pipelined = self.read_buffer.filled > 0 or self._pipelined_unread
+        self._pipelined_unread = False
+        self.idle = not self.read_buffer.filled
         if self.idle and not self._wait_for_request():
             return None
         self.idle = False
@@ -244,20 +246,20 @@
         return None
 
     def _read_request(self, limits: RequestLimits) -> ClientRequest | None:
-        inbox = self.inbox
-        inbox.most = limits.header_bytes + limits.body_bytes + len(inbox.buffer)
+        read_buffer = self.read_buffer
+        read_buffer.most = limits.header_bytes + limits.body_bytes + len(read_buffer.buffer)
         request = ClientRequest(limits.header_bytes, limits.body_bytes)
         request.received_at = time.monotonic()
         self.sock.settimeout(limits.header_timeout_s)
-        used = request.read(inbox.buffer, inbox.filled)
+        used = request.read(read_buffer.buffer, read_buffer.filled)
         while used is None:
             if request.expects_continue:
-                self._continue_once(request)
-            if not inbox.read(self.sock, request.message.whole, request.message.kept):
+                self._send_continue_once(request)
+            if not read_buffer.read(self.sock, request.message.whole, request.message.kept):
                 return None
-            used = request.read(inbox.buffer, inbox.filled)
+            used = request.read(read_buffer.buffer, read_buffer.filled)
         request.check()
-        inbox.next(used)
+        read_buffer.next(used)
         return request
 
     def _wait_for_request(self) -> bool:
@@ -269,39 +271,39 @@
         while (left_s := began_at + self.ingress.limits.idle_timeout_s - time.monotonic()) > 0:
             self.sock.settimeout(left_s)
             try:
-                self.inbox.read(self.sock)
-                return self.inbox.filled > 0
+                self.read_buffer.read(self.sock)
+                return self.read_buffer.filled > 0
             except TimeoutError:
                 continue
         return False
 
-    def _continue_once(self, request: ClientRequest) -> None:
-        if not request.continued:
-            request.continued = True
+    def _send_continue_once(self, request: ClientRequest) -> None:
+        if not request.continue_sent:
+            request.continue_sent = True
             send_all(self.sock, [_CONTINUE])
 
     def _serve(self, request: ClientRequest) -> None:
         self.sock.settimeout(None)
         self.closing = self.closing or self.ingress.draining or not request.keeps_connection
-        waited = self.pipelined or not self.ingress.able
-        able = self.ingress.await_able(self._patience_s(request))
+        waited = self.pipelined or not self.ingress.can_serve
+        can_serve = self.ingress.wait_until_can_serve(self._max_start_wait_s(request))
         if waited and hung_up(self.sock):
-            raise ClientLeft
+            raise ClientDisconnected
         table = self.ingress.table
         if not table.configured:
             self._refuse_until_ready(request)
             return
         target = table.find(request.header(b"host"), request.path)
         if target is None:
-            self.send([own_answer(HTTPStatus.NOT_FOUND, request.request_id, None, self.closing)])
-        elif not able:
+            self.send([agent_response(HTTPStatus.NOT_FOUND, request.request_id, None, self.closing)])
+        elif not can_serve:
             self._refuse_until_ready(request)
         elif not self._forward(request, target):
             self.closing = True
 
-    def _patience_s(self, request: ClientRequest) -> float:
+    def _max_start_wait_s(self, request: ClientRequest) -> float:
         """How long a request may wait for a process that is about to be able to serve it."""
-        return min(MOST_START_WAIT_S, START_WAIT_SHARE * request.deadline_s(LONGEST_DEADLINE_S))
+        return min(MAX_START_WAIT_S, START_WAIT_SHARE * request.deadline_s(MAX_DEADLINE_S))
 
     def _forward(self, request: ClientRequest, target: RouteTarget) -> bool:
         """Give the request its final answer; whether that answer is complete. Raises ClientLeft."""
@@ -320,7 +322,7 @@
             return self.ingress.forwarding.tenants.admit(request, target)
         except TenantRefusal as refusal:
             retry_after_s = MEMORY_RETRY_S if refusal.status is HTTPStatus.SERVICE_UNAVAILABLE else None
-            self.send([own_answer(refusal.status, request.request_id, retry_after_s, self.closing)])
+            self.send([agent_response(refusal.status, request.request_id, retry_after_s, self.closing)])
             return None
 
     def _refuse_until_ready(self, request: ClientRequest) -> None:
@@ -329,29 +331,31 @@
         A client that has less time left comes back sooner of itself.
         """
         uptime_s = time.monotonic() - self.ingress.started_at
-        ready_after_s = self.ingress.forwarding.random.uniform(EXPECTED_START_S, SURE_START_S)
-        retry_after_s = max(LEAST_STARTING_RETRY_S, ready_after_s - uptime_s)
+        ready_after_s = self.ingress.forwarding.random.uniform(EXPECTED_START_S, MAX_START_S)
+        retry_after_s = max(MIN_STARTING_RETRY_S, ready_after_s - uptime_s)
         status = HTTPStatus.SERVICE_UNAVAILABLE
-        self.send([own_answer(status, request.request_id, retry_after_s, self.closing)])
+        self.send([agent_response(status, request.request_id, retry_after_s, self.closing)])
 
     def _reject(self, status: HTTPStatus, retry_after_s: float | None = None) -> None:
         """Answer what could not be read whole, and end the connection without resetting it at once."""
         self.closing = True
         with suppress(OSError):
-            send_all(self.sock, [own_answer(status, b"", retry_after_s, True)])
+            send_all(self.sock, [agent_response(status, b"", retry_after_s, True)])
             self.sock.shutdown(socket.SHUT_WR)
             with gevent.Timeout(LINGER_S, False):
                 while self.sock.recv(4096):
                     pass
 
-    def _tune(self) -> None:
+    def _set_socket_options(self) -> None:
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENCE_S * MILLISECONDS))
+        self.sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(UNACKNOWLEDGED_TIMEOUT_S * MS_PER_S)
+        )
 
-    def _end(self) -> None:
-        if self.ended:
+    def _close(self) -> None:
+        if self.closed:
             return
-        self.ended = True
+        self.closed = True
         self.ingress.connections.pop(self, None)
         if self._watcher is not None:
             self.unwatch()
--- a/src/nettledeal/dataplane/known_backends.py
+++ b/src/nettledeal/dataplane/known_backends.py
@@ -10,7 +10,7 @@
 from nettledeal.common.logs import log_event
 from nettledeal.discovery.catalogue import Backend, decode_backend
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 class _ReceivedEntry(msgspec.Struct, frozen=True):
@@ -22,7 +22,7 @@
         """The backend with what is left of its warm-up."""
         if self.backend.warmup_left_ms <= 0:
             return self.backend
-        left_ms = self.backend.warmup_left_ms - MILLISECONDS * (now - self.received_at)
+        left_ms = self.backend.warmup_left_ms - MS_PER_S * (now - self.received_at)
         return msgspec.structs.replace(self.backend, warmup_left_ms=max(0.0, left_ms))
 
 
@@ -45,7 +45,7 @@
         for backend_id, value in entries.items():
             held = self._received.get(backend_id)
             if held is None or held.value != value:
-                held = _read(value, now)
+                held = _decode(value, now)
             if held is not None:
                 received[backend_id] = held
         self._received = received
@@ -60,7 +60,7 @@
             held = self._received.get(backend_id)
             if held is not None and held.value == value:
                 continue
-            entry = None if value is None else _read(value, now)
+            entry = None if value is None else _decode(value, now)
             if entry is not None:
                 self._received[backend_id] = entry
                 changed.append(entry.backend)
@@ -73,7 +73,7 @@
         return [entry.as_of(now) for entry in self._received.values()]
 
 
-def _read(value: bytes, now: float) -> _ReceivedEntry | None:
+def _decode(value: bytes, now: float) -> _ReceivedEntry | None:
     """None for an entry that cannot be read: the others still count."""
     try:
         return _ReceivedEntry(value, decode_backend(value), now)
--- a/src/nettledeal/dataplane/readiness.py
+++ b/src/nettledeal/dataplane/readiness.py
@@ -11,9 +11,9 @@
 
 from nettledeal.common.addresses import Address
 from nettledeal.common.connections import listening_socket
-from nettledeal.dataplane.answers import own_answer
+from nettledeal.dataplane.response_heads import agent_response
 
-PATH = b"/readyz"
+READY_PATH = b"/readyz"
 TENANTS_PATH = b"/tenants"
 MAX_REQUEST_BYTES = 4096
 TIMEOUT_S = 5.0
@@ -67,10 +67,10 @@
         path = words[1].partition(b"?")[0] if len(words) == 3 else b""
         page = self.tenants_page() if path == TENANTS_PATH else None
         if page is not None:
-            return own_answer(HTTPStatus.OK, body=page)
-        return own_answer(self._status(path))
+            return agent_response(HTTPStatus.OK, body=page)
+        return agent_response(self._status(path))
 
     def _status(self, path: bytes) -> HTTPStatus:
-        if path != PATH:
+        if path != READY_PATH:
             return HTTPStatus.NOT_FOUND
         return HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
--- a/src/nettledeal/dataplane/answers.py
+++ b/src/nettledeal/dataplane/response_heads.py
@@ -7,7 +7,7 @@
 _PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
-def own_answer(
+def agent_response(
     status: HTTPStatus,
     request_id: bytes = b"",
     retry_after_s: float | None = None,
@@ -27,7 +27,7 @@
     return b"".join(lines)
 
 
-def relayed_head(status: int, fields: bytes, length: int | None, close: bool) -> bytes:
+def relayed_response_head(status: int, fields: bytes, length: int | None, close: bool) -> bytes:
     """The head of a backend's answer for the client: its own lines, framed anew for this connection.
 
     Without a length the body goes out in chunks.
--- a/src/nettledeal/dataplane/budgets.py
+++ b/src/nettledeal/dataplane/retry_budget.py
@@ -45,8 +45,8 @@
     the others go, while they still spend their parts: so the most members seen count.
     """
 
-    def __init__(self, memory_s: float = 30.0):
-        self.memory_s = memory_s
+    def __init__(self, window_s: float = 30.0):
+        self.window_s = window_s
         self._views: deque[tuple[float, int]] = deque()
 
     def set_members(self, members: int, now: float) -> None:
@@ -57,7 +57,7 @@
 
     def members(self, now: float) -> int:
         """The most members seen within the memory; the newest view counts however old it is."""
-        while len(self._views) > 1 and self._views[1][0] < now - self.memory_s:
+        while len(self._views) > 1 and self._views[1][0] < now - self.window_s:
             self._views.popleft()
         return max(1, self._views[0][1]) if self._views else 1
 
@@ -68,16 +68,16 @@
 class LeasedShare:
     """The part of the slack that the share roster grants; an equal one as long as there is no roster."""
 
-    def __init__(self, lease: ShareLease, window_s: float, without_roster: EqualShare):
+    def __init__(self, lease: ShareLease, window_s: float, fallback: EqualShare):
         self.lease = lease
         self.window_s = window_s
-        self.without_roster = without_roster
+        self.fallback = fallback
 
     def amount(self, service: str, slack: float, now: float) -> float:
         if self.lease.known:
             return self.lease.part(slack, now, self.window_s)
         share = STARTING_SHARE if self.lease.starting(now, self.window_s) else 1.0
-        return share * self.without_roster.amount(service, slack, now)
+        return share * self.fallback.amount(service, slack, now)
 
 
 class RetryBudget:
@@ -89,18 +89,18 @@
         self._earned: dict[str, deque[float]] = {}
         self._spent: dict[str, deque[float]] = {}
 
-    def earn(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """A client's request on a route to `service` was taken."""
         earned = self._earned.setdefault(service, deque())
         earned.append(now)
-        self._forget(earned, now - self.terms.window_s + self.terms.window_margin_s)
+        self._drop_before(earned, now - self.terms.window_s + self.terms.window_margin_s)
 
     def available(self, service: str, now: float) -> float:
         """Attempts that may start now, as a fraction; under 1 there is none."""
         earned = self._earned.get(service, deque())
         spent = self._spent.get(service, deque())
-        self._forget(earned, now - self.terms.window_s + self.terms.window_margin_s)
-        self._forget(spent, now - self.terms.window_s - self.terms.window_margin_s)
+        self._drop_before(earned, now - self.terms.window_s + self.terms.window_margin_s)
+        self._drop_before(spent, now - self.terms.window_s - self.terms.window_margin_s)
         slack = self.share.amount(service, self.terms.slack * self.terms.slack_margin, now)
         return slack + self.terms.ratio * self.terms.margin * len(earned) - len(spent)
 
@@ -111,13 +111,13 @@
         self._spent.setdefault(service, deque()).append(now)
         return True
 
-    def give_back(self, service: str) -> None:
+    def refund(self, service: str) -> None:
         """The attempt taken last was never sent to a backend."""
         spent = self._spent.get(service)
         if spent:
             spent.pop()
 
     @staticmethod
-    def _forget(times: deque[float], before: float) -> None:
+    def _drop_before(times: deque[float], before: float) -> None:
         while times and times[0] < before:
             times.popleft()
--- a/src/nettledeal/dataplane/routing_table.py
+++ b/src/nettledeal/dataplane/routing_table.py
@@ -17,19 +17,19 @@
 
 from nettledeal.operator_api.configuration import ClientLimits, Route, RouteType, Service
 
-ROUTE = "route/"
-TENANT_ROUTE = "tenant-route/"
-SERVICE = "service/"
-ROUTES = (ROUTE, TENANT_ROUTE)
-EVACUATION = "evacuation/"
-LIMITS = "limits"
-TENANCY = "tenancy"
-
-MILLISECONDS = 1000.0
+ROUTE_KEY = "route/"
+TENANT_ROUTE_KEY = "tenant-route/"
+SERVICE_KEY = "service/"
+ROUTE_KEYS = (ROUTE_KEY, TENANT_ROUTE_KEY)
+EVACUATION_KEY = "evacuation/"
+LIMITS_KEY = "limits"
+TENANCY_KEY = "tenancy"
+
+MS_PER_S = 1000.0
 GOLDEN_RATIO = (5**0.5 - 1) / 2
 
 
-class EvenDraws:
+class LowDiscrepancySequence:
     """Numbers in [0, 1) of which any stretch fills each part nearly by its size (multiples of the golden
     ratio). Drawn independently, the parts of a few hundred requests would be off by some in a hundred."""
 
@@ -57,13 +57,13 @@
     repeatable: bool
     resumable: bool
     of_tenants: bool = False
-    draws: EvenDraws = field(default_factory=EvenDraws, compare=False)
+    split_sequence: LowDiscrepancySequence = field(default_factory=LowDiscrepancySequence, compare=False)
 
     def pick_service(self, random: Random) -> str:
         """A service by the weights of the traffic split."""
         if len(self.services) == 1:
             return self.services[0]
-        point = self.draws.next(random) * self.cumulative_weights[-1]
+        point = self.split_sequence.next(random) * self.cumulative_weights[-1]
         last = len(self.services) - 1
         return self.services[bisect_right(self.cumulative_weights, point, 0, last)]
 
@@ -77,8 +77,8 @@
         services=tuple(part.service for part in split),
         cumulative_weights=tuple(accumulate(part.weight for part in split)),
         home_regions=frozenset(route.home_regions),
-        timeout_s=route.timeout_ms / MILLISECONDS,
-        target_latency_s=route.target_latency_ms / MILLISECONDS,
+        timeout_s=route.timeout_ms / MS_PER_S,
+        target_latency_s=route.target_latency_ms / MS_PER_S,
         repeatable=resumable or route.repeatable,
         resumable=resumable,
         of_tenants=route.is_of_tenants,
@@ -123,55 +123,55 @@
     entries = dict(entries)
     hosts = dict(table.hosts)
     services = dict(table.services)
-    fresh: set[str] = set()
+    copied_hosts: set[str] = set()
     for key in table.entries.keys() - entries.keys():
-        _remove(key, hosts, services, fresh)
+        _remove_entry(key, hosts, services, copied_hosts)
     for key, value in entries.items():
         if table.entries.get(key) != value:
-            _put(key, value, hosts, services, fresh)
-    limits = entries.get(LIMITS)
+            _apply_entry(key, value, hosts, services, copied_hosts)
+    limits = entries.get(LIMITS_KEY)
     return RoutingTable(
         entries=entries,
         hosts=hosts,
         services=services,
         limits=None if limits is None else msgspec.json.decode(limits, type=ClientLimits),
-        evacuated=frozenset(key[len(EVACUATION) :] for key in entries if key.startswith(EVACUATION)),
+        evacuated=frozenset(key[len(EVACUATION_KEY) :] for key in entries if key.startswith(EVACUATION_KEY)),
     )
 
 
-def _put(
+def _apply_entry(
     key: str,
     value: bytes,
     hosts: dict[str, Mapping[str, RouteTarget]],
     services: dict[str, Service],
-    fresh: set[str],
+    copied_hosts: set[str],
 ) -> None:
-    if key.startswith(ROUTES):
+    if key.startswith(ROUTE_KEYS):
         route = msgspec.json.decode(value, type=Route)
-        _own_copy(route.hostname.lower(), hosts, fresh)[route.path_prefix] = route_target(route)
-    elif key.startswith(SERVICE):
+        _copy_once(route.hostname.lower(), hosts, copied_hosts)[route.path_prefix] = route_target(route)
+    elif key.startswith(SERVICE_KEY):
         service = msgspec.json.decode(value, type=Service)
         services[service.name] = service
 
 
-def _remove(
+def _remove_entry(
     key: str,
     hosts: dict[str, Mapping[str, RouteTarget]],
     services: dict[str, Service],
-    fresh: set[str],
+    copied_hosts: set[str],
 ) -> None:
-    if key.startswith(ROUTES):
+    if key.startswith(ROUTE_KEYS):
         host, _, prefix = key.partition("/")[2].partition(" ")
-        _own_copy(host.lower(), hosts, fresh).pop(prefix, None)
-    elif key.startswith(SERVICE):
-        services.pop(key[len(SERVICE) :], None)
+        _copy_once(host.lower(), hosts, copied_hosts).pop(prefix, None)
+    elif key.startswith(SERVICE_KEY):
+        services.pop(key[len(SERVICE_KEY) :], None)
 
 
-def _own_copy(
-    host: str, hosts: dict[str, Mapping[str, RouteTarget]], fresh: set[str]
+def _copy_once(
+    host: str, hosts: dict[str, Mapping[str, RouteTarget]], copied_hosts: set[str]
 ) -> dict[str, RouteTarget]:
     """The prefixes of a host as a copy that the table in force does not share."""
-    if host not in fresh:
+    if host not in copied_hosts:
         hosts[host] = dict(hosts.get(host, {}))
-        fresh.add(host)
+        copied_hosts.add(host)
     return hosts[host]
--- a/src/nettledeal/dataplane/selection/placement.py
+++ b/src/nettledeal/dataplane/selection/placement.py
@@ -51,7 +51,7 @@
         if state.prompt_mix.is_long(call):
             long_prompt_ids = self._long_prompt_ids(usable, call, state, now)
             eligible = [record for record in usable if record.backend.id in long_prompt_ids]
-        group = self._within_region_threshold(eligible, call, state, queues)
+        group = self._home_or_overflow(eligible, call, state, queues)
         if call.shared_tokens >= self.tuning.affinity_min_tokens:
             order = self._prefix_order(group, ready, call, state, now)
             order += self._short_prompt_records(order, usable, call, queues)
@@ -63,7 +63,7 @@
                 queues[backend_id] += self.tuning.long_prompt_queue_penalty
         return self._choose_weighted(group, queues, now)
 
-    def _within_region_threshold(
+    def _home_or_overflow(
         self,
         usable: Sequence[BackendRecord],
         call: CallDescription,
--- a/src/nettledeal/dataplane/silence.py
+++ b/src/nettledeal/dataplane/silence_check.py
@@ -14,9 +14,9 @@
 from nettledeal.dataplane.selection import Attempt, Selector
 
 # Between the events of a stream.
-STREAM_SILENCE_S = 0.6
+STREAM_CHECK_DELAY_S = 0.6
 # How much longer the next silence may be after the backend was found there.
-PATIENCE_GROWTH = 2.0
+CHECK_DELAY_GROWTH = 2.0
 
 
 class SilenceCheck:
@@ -27,31 +27,31 @@
         selector: Selector,
         attempt: Attempt,
         connection: BackendConnection,
-        could_repeat: Callable[[], bool],
+        could_retry: Callable[[], bool],
     ):
         self.selector = selector
         self.attempt = attempt
         self.connection = connection
-        self.could_repeat = could_repeat
-        self.silence_s = 0.0
+        self.could_retry = could_retry
+        self.check_delay_s = 0.0
 
-    def expect_head(self) -> None:
+    def on_request_sent(self) -> None:
         """The request has been sent."""
-        self._wait(self.selector.connect_check_delay_s(self.attempt))
+        self._set_timeout(self.selector.connect_check_delay_s(self.attempt))
 
-    def expect_events(self, resumable: bool) -> None:
+    def on_head_received(self, resumable: bool) -> None:
         """The head has come; only a stream that can be taken up elsewhere is watched further."""
-        self._wait(STREAM_SILENCE_S if resumable else None)
+        self._set_timeout(STREAM_CHECK_DELAY_S if resumable else None)
 
-    def still_there(self) -> bool:
+    def keep_waiting(self) -> bool:
         """Whether to wait on after a silence; false where another backend should be asked instead."""
         if self.connection.pool.try_connect(time.monotonic()):
-            self._wait(PATIENCE_GROWTH * self.silence_s)
+            self._set_timeout(CHECK_DELAY_GROWTH * self.check_delay_s)
             return True
         self.selector.record_unreachable(self.attempt.backend_id, time.monotonic())
-        self._wait(None)
-        return not self.could_repeat()
+        self._set_timeout(None)
+        return not self.could_retry()
 
-    def _wait(self, silence_s: float | None) -> None:
-        self.silence_s = silence_s or 0.0
-        self.connection.sock.settimeout(silence_s)
+    def _set_timeout(self, check_delay_s: float | None) -> None:
+        self.check_delay_s = check_delay_s or 0.0
+        self.connection.sock.settimeout(check_delay_s)
--- a/src/nettledeal/dataplane/stream_pauses.py
+++ b/src/nettledeal/dataplane/stream_pauses.py
@@ -13,10 +13,10 @@
     def __init__(self, selector: Selector, attempt: Attempt):
         self.selector = selector
         self.attempt = attempt
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
 
-    def heard(self) -> None:
+    def on_received(self) -> None:
         """More of the stream has come."""
         now = time.monotonic()
-        self.selector.record_stream_pause(self.attempt, now - self.heard_at, now)
-        self.heard_at = now
+        self.selector.record_stream_pause(self.attempt, now - self.last_received_at, now)
+        self.last_received_at = now
--- a/src/nettledeal/programs/data_plane.py
+++ b/src/nettledeal/programs/data_plane.py
@@ -83,7 +83,7 @@
             self._counting = gevent.spawn_later(MEMBERS_COUNTED_AFTER_S, self._count_members)
 
     def _take_findings(self, findings: BackendFindings) -> None:
-        self.data_plane.take_report(BackendReport(findings.backend_ids, findings.replaced, findings.queues))
+        self.data_plane.apply_report(BackendReport(findings.backend_ids, findings.replaced, findings.queues))
 
     def _report(self) -> None:
         while True:
@@ -96,7 +96,7 @@
         self._counting = None
         edges = [member.name for member in self.membership.members() if member.role == Role.EDGE]
         self.data_plane.set_data_plane_members(self.membership.data_plane_count(), edges)
-        self.data_plane.set_doubted_zones(self.membership.zones_in_doubt())
+        self.data_plane.set_suspect_zones(self.membership.zones_in_doubt())
 
 
 def _findings(report: BackendReport) -> BackendFindings:
--- a/tests/system/test_budgets_retries.py
+++ b/tests/system/test_budgets_retries.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from nettledeal.dataplane.budgets import BudgetTerms, EqualShare, LeasedShare, RetryBudget
+from nettledeal.dataplane.retry_budget import BudgetTerms, EqualShare, LeasedShare, RetryBudget
 from nettledeal.shares.lease import ShareLease
 from nettledeal.shares.roster import Roster
 
@@ -36,7 +36,7 @@
         if chosen == 0 and number % 50 == 0:
             fleet[0] = budget(known, started_at=now)
         if not retry:
-            fleet[chosen].earn("model", now)
+            fleet[chosen].record_request("model", now)
             requests.append(now)
         elif fleet[chosen].try_spend("model", now):
             retries.append(now)
@@ -52,18 +52,18 @@
     fresh = budget(8, started_at=0.0)
     assert not fresh.try_spend("model", 0.1)
     for n in range(2):
-        fresh.earn("model", 0.1 + n / 100)
+        fresh.record_request("model", 0.1 + n / 100)
     assert fresh.try_spend("model", 0.2)
     assert not fresh.try_spend("model", 0.2)
     for n in range(10):
-        fresh.earn("model", 0.3 + n / 100)
+        fresh.record_request("model", 0.3 + n / 100)
     assert fresh.try_spend("model", 0.5)
 
 
 def test_what_was_not_sent_is_given_back():
     fresh = budget(5, started_at=0.0)
     assert fresh.try_spend("model", 0.1)
-    fresh.give_back("model")
+    fresh.refund("model")
     assert fresh.try_spend("model", 0.2)
 
 
--- a/tests/system/test_dataplane_attempts.py
+++ b/tests/system/test_dataplane_attempts.py
@@ -197,12 +197,12 @@
     with running(StandIn("i-1", script=forgetful)) as rig:
         client = rig.client()
         assert client.ask(Request_Id="r1")[0] == 200
-        assert rig.plane.connections.learned_idle.value_s(time.monotonic()) == float("inf")
+        assert rig.plane.connections.learned_idle_limit.value_s(time.monotonic()) == float("inf")
         assert client.ask(Request_Id="r2")[0] == 502
-        assert rig.plane.connections.learned_idle.value_s(time.monotonic()) < float("inf")
+        assert rig.plane.connections.learned_idle_limit.value_s(time.monotonic()) < float("inf")
 
 
 def test_a_new_connection_that_ends_unanswered_does_not():
     with running(StandIn("i-1", script=closes)) as rig:
         assert rig.client().ask(Request_Id="r1")[0] == 502
-        assert rig.plane.connections.learned_idle.value_s(time.monotonic()) == float("inf")
+        assert rig.plane.connections.learned_idle_limit.value_s(time.monotonic()) == float("inf")
--- a/tests/system/test_dataplane_backends.py
+++ b/tests/system/test_dataplane_backends.py
@@ -2,7 +2,7 @@
 
 import time
 
-from nettledeal.dataplane.backend_connections import FIRST_CONNECT_TIMEOUT_S, LEAST_CONNECT_TIMEOUT_S
+from nettledeal.dataplane.backend_connections import FIRST_CONNECT_TIMEOUT_S, MIN_CONNECT_TIMEOUT_S
 from nettledeal.dataplane.known_backends import KnownBackends
 from nettledeal.dataplane.selection import Tuning
 from nettledeal.discovery.catalogue import Backend, BackendState
@@ -77,12 +77,12 @@
         pool = rig.plane.connections.pool("i-1")
         assert pool.connect_timeout_s == FIRST_CONNECT_TIMEOUT_S
         assert rig.client().ask()[0] == 200
-        assert pool.connect_timeout_s == LEAST_CONNECT_TIMEOUT_S
+        assert pool.connect_timeout_s == MIN_CONNECT_TIMEOUT_S
         rig.backends[0].sock.close()
         assert rig.client().ask()[0] == 503
-        assert pool.connect_timeout_s == LEAST_CONNECT_TIMEOUT_S
+        assert pool.connect_timeout_s == MIN_CONNECT_TIMEOUT_S
         assert rig.client().ask()[0] == 503
-        assert pool.connect_timeout_s == LEAST_CONNECT_TIMEOUT_S
+        assert pool.connect_timeout_s == MIN_CONNECT_TIMEOUT_S
 
 
 def test_a_request_that_may_run_once_takes_no_connection_that_has_rested_long():
@@ -110,7 +110,7 @@
         pool.idle[0].idle_since -= 0.6
         client.ask("/web/x")
         assert rig.backends[0].connections == 1
-        rig.plane.selector.trouble.note("north-1", time.monotonic())
+        rig.plane.selector.zone_failures.record("north-1", time.monotonic())
         pool.idle[0].idle_since -= 0.6
         client.ask("/web/x")
         assert rig.backends[0].connections == 2
--- a/tests/system/test_dataplane_changes.py
+++ b/tests/system/test_dataplane_changes.py
@@ -46,7 +46,7 @@
                 record.backend.address,
                 record.backend.zone,
                 record.backend.state,
-                record.told_warmup_ms > 0,
+                record.last_warmup_left_ms > 0,
             )
             for key, record in selector.records.items()
         },
@@ -131,7 +131,7 @@
     ),
     "no route is left": lambda plane: plane.apply_control(2, {"limits": b"{}", "generation": b"2"}),
     "the other members are lost": lambda plane: plane.set_data_plane_members(1, []),
-    "zones are doubted": lambda plane: plane.set_doubted_zones(["north-1", "south-1"]),
+    "zones are doubted": lambda plane: plane.set_suspect_zones(["north-1", "south-1"]),
 }
 
 
--- a/tests/system/test_dataplane_client_leaves.py
+++ b/tests/system/test_dataplane_client_leaves.py
@@ -156,9 +156,9 @@
     """Until the agent has looked at what was pipelined, so that the end comes behind it."""
     (connection,) = rig.plane.ingress.connections
     limit = time.monotonic() + REACHED_S
-    while count and not connection._more_waits and time.monotonic() < limit:
+    while count and not connection._pipelined_unread and time.monotonic() < limit:
         gevent.idle()
-    assert not count or connection._more_waits
+    assert not count or connection._pipelined_unread
 
 
 def test_what_was_pipelined_reaches_nobody_where_the_client_left_before_the_first_answer():
@@ -191,7 +191,7 @@
         client = rig.client()
         client.send(Request_Id="first")
         limit = time.monotonic() + REACHED_S
-        while not rig.plane.ingress.busy and time.monotonic() < limit:
+        while not rig.plane.ingress.busy_connections and time.monotonic() < limit:
             gevent.idle()
         client.close()
         rig.clients.clear()
--- a/tests/system/test_dataplane_connection_states.py
+++ b/tests/system/test_dataplane_connection_states.py
@@ -19,7 +19,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from nettledeal.dataplane.backend_answer import BackendAnswer
+from nettledeal.dataplane.backend_response import BackendResponse
 from nettledeal.dataplane.forwarding import Exchange
 from tests.system.dataplane_rig import (
     Client,
@@ -34,7 +34,7 @@
 )
 
 GIVEN_UP_MS = 150
-PROMISES = (408, 421, 429, 503)
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 LONG_BODY = 60_000
 EVENTS = 3
 
@@ -275,7 +275,7 @@
             return "the answer of another request"
         came = self.world.arrivals.get(request_id, [])
         ran = [does for does in came if does is not Does.DECLINED]
-        if status in PROMISES and ran:
+        if status in NOT_EXECUTED_STATUSES and ran:
             return "a false promise"
         if status >= 300:
             return ""
@@ -329,18 +329,18 @@
 
 
 def test_a_request_that_is_sent_again_after_a_reset_is_caught(monkeypatch):
-    monkeypatch.setattr(Exchange, "_may_repeat", lambda self: True)
+    monkeypatch.setattr(Exchange, "_may_retry", lambda self: True)
     assert any("ran 2 times" in fault for fault in with_each_behaviour())
 
 
 def test_an_answer_that_is_taken_whatever_its_request_is_caught(monkeypatch):
-    monkeypatch.setattr(BackendAnswer, "read_head", BackendAnswer._read_one_head)
+    monkeypatch.setattr(BackendResponse, "read_head", BackendResponse._read_one_head)
     assert any("of another" in fault for fault in with_each_behaviour())
 
 
 def test_a_promise_after_something_was_sent_is_caught(monkeypatch):
     def promise(self):
-        self.relay.answer_directly(HTTPStatus.SERVICE_UNAVAILABLE, 1.0)
+        self.relay.respond_directly(HTTPStatus.SERVICE_UNAVAILABLE, 1.0)
 
     monkeypatch.setattr(Exchange, "_give_up", promise)
     assert any("a false promise" in fault for fault in with_each_behaviour())
--- a/tests/system/test_dataplane_idle_limit.py
+++ b/tests/system/test_dataplane_idle_limit.py
@@ -7,7 +7,7 @@
 
 from nettledeal.common.addresses import Address
 from nettledeal.dataplane.backend_connections import BackendConnection, BackendConnections
-from nettledeal.dataplane.idle_limit import LEAST_IDLE_S, MEMORY_S, LearnedIdleLimit
+from nettledeal.dataplane.idle_limit import MEMORY_S, MIN_IDLE_LIMIT_S, LearnedIdleLimit
 from nettledeal.net.transport.buffers import MemoryPool
 
 
@@ -17,16 +17,16 @@
 
 def test_the_shortest_rest_counts_and_fades():
     limit = LearnedIdleLimit()
-    limit.forgotten(0.2, 1.0)
-    limit.forgotten(0.4, 2.0)
+    limit.record_reset(0.2, 1.0)
+    limit.record_reset(0.4, 2.0)
     assert limit.value_s(3.0) == pytest.approx(0.1)
     assert limit.value_s(2.0 + MEMORY_S) == float("inf")
 
 
 def test_a_backend_that_ended_after_no_rest_does_not_end_all_reuse():
     limit = LearnedIdleLimit()
-    limit.forgotten(0.0, 1.0)
-    assert limit.value_s(1.0) == LEAST_IDLE_S
+    limit.record_reset(0.0, 1.0)
+    assert limit.value_s(1.0) == MIN_IDLE_LIMIT_S
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     ends.append(theirs)
-    connection = BackendConnection(pool, ours, connections.stock)
+    connection = BackendConnection(pool, ours, connections.memory_pool)
     connection.idle_limit_s = 5.0
     pool.open += 1
     pool.put_back(connection, since)
@@ -60,21 +60,21 @@
 def test_a_forgotten_connection_shortens_the_rest_of_all_others(connections, ends):
     resting(connections, "a", ends, 0.0)
     other = resting(connections, "b", ends, 0.0)
-    assert not other.rested(1.0)
+    assert not other.idle_limit_reached(1.0)
     taken = connections.pool("a").acquire(1.0, 1.0)
-    taken.broke(ConnectionResetError(), 1.1)
-    assert other.rested(1.1)
+    taken.record_break(ConnectionResetError(), 1.1)
+    assert other.idle_limit_reached(1.1)
     connections.close_idle(1.1)
     assert other.closed
 
 
 def test_a_new_connection_that_breaks_says_nothing_of_rests(connections, ends):
     connection = resting(connections, "a", ends, 0.0)
-    connection.broke(ConnectionResetError(), 1.0)
-    assert connections.learned_idle.value_s(1.0) == float("inf")
+    connection.record_break(ConnectionResetError(), 1.0)
+    assert connections.learned_idle_limit.value_s(1.0) == float("inf")
 
 
 def test_a_backend_that_falls_silent_says_nothing_of_rests(connections, ends):
     resting(connections, "a", ends, 0.0)
-    connections.pool("a").acquire(1.0, 1.0).broke(TimeoutError(), 1.1)
-    assert connections.learned_idle.value_s(1.1) == float("inf")
+    connections.pool("a").acquire(1.0, 1.0).record_break(TimeoutError(), 1.1)
+    assert connections.learned_idle_limit.value_s(1.1) == float("inf")
--- a/tests/system/test_dataplane_ingress.py
+++ b/tests/system/test_dataplane_ingress.py
@@ -7,8 +7,8 @@
 
 from nettledeal.dataplane.ingress import (
     EXPECTED_START_S,
-    LEAST_STARTING_RETRY_S,
-    SURE_START_S,
+    MAX_START_S,
+    MIN_STARTING_RETRY_S,
     RequestLimits,
 )
 from nettledeal.dataplane.routing_table import RoutingTable
@@ -39,16 +39,16 @@
     with running(StandIn("i-1")) as rig:
         rig.plane.ingress.has_catalogue = False
         status, headers, _ = rig.client().ask()
-        assert (status, float(headers["retry-after"]) >= LEAST_STARTING_RETRY_S) == (503, True)
+        assert (status, float(headers["retry-after"]) >= MIN_STARTING_RETRY_S) == (503, True)
         assert rig.client().ask("/elsewhere/x")[0] == 404
 
 
 @pytest.mark.parametrize(
     ("uptime_s", "least_s", "most_s"),
     [
-        (0.0, EXPECTED_START_S - 1.0, SURE_START_S),  # the rig itself takes a moment
-        (EXPECTED_START_S, LEAST_STARTING_RETRY_S, SURE_START_S - EXPECTED_START_S),
-        (60.0, LEAST_STARTING_RETRY_S, LEAST_STARTING_RETRY_S),
+        (0.0, EXPECTED_START_S - 1.0, MAX_START_S),  # the rig itself takes a moment
+        (EXPECTED_START_S, MIN_STARTING_RETRY_S, MAX_START_S - EXPECTED_START_S),
+        (60.0, MIN_STARTING_RETRY_S, MIN_STARTING_RETRY_S),
     ],
 )
 def test_clients_of_a_starting_process_come_back_when_it_is_surely_ready_not_all_at_once(
--- a/tests/system/test_early_listener.py
+++ b/tests/system/test_early_listener.py
@@ -8,7 +8,7 @@
 import pytest
 
 from nettledeal.dataplane.agent import DataPlane
-from nettledeal.dataplane.ingress import MOST_START_WAIT_S, START_WAIT_SHARE
+from nettledeal.dataplane.ingress import MAX_START_WAIT_S, START_WAIT_SHARE
 from nettledeal.programs.commands.data_plane import frontend_listener
 from system.dataplane_rig import Client, StandIn, catalogue, entries, make_settings, running
 
@@ -67,4 +67,4 @@
 
 def test_nobody_waits_for_more_than_a_small_part_of_his_time():
     assert START_WAIT_SHARE <= 0.05
-    assert MOST_START_WAIT_S <= 0.25
+    assert MAX_START_WAIT_S <= 0.25
--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -18,7 +18,7 @@
 from nettledeal.control.decisions import decide
 from nettledeal.control.messages import EpochRecord
 from nettledeal.control.state import ChangeShares, ControlState, Outcome, ShareChange
-from nettledeal.dataplane.budgets import BudgetTerms, EqualShare, LeasedShare, RetryBudget
+from nettledeal.dataplane.retry_budget import BudgetTerms, EqualShare, LeasedShare, RetryBudget
 from nettledeal.dataplane.selection.model import ServiceProfile, Tuning
 from nettledeal.dataplane.selection.warmup import RecentMembers, WarmupShares
 from nettledeal.membership.node import ASSUMED_BEFORE_JOINING, MemberInfo
@@ -33,7 +33,7 @@
 MODEL = ServiceProfile("model", warmup_s=3.0, warmup_per_s=20.0)
 TUNING = Tuning()
 WARMUP_BOUND = MODEL.warmup_per_s * TUNING.warmup.overage + TUNING.warmup.slack
-SILENCE_S = 2.0  # until the members of the primary's side hold those cut off for dead
+UNACKNOWLEDGED_TIMEOUT_S = 2.0  # until the members of the primary's side hold those cut off for dead
 MOST_DELAY_S = 2.0  # of a roster and its confirmation on their way to an agent
 COLD = ("b1", "b2")
 LEAST_GAP_S = 5.5  # between troubles: no more than two kills in one window of the budget
@@ -117,7 +117,7 @@
         members = {
             agent.name
             for agent in self.agents.values()
-            if not agent.isolated or self.now < agent.cut_since + SILENCE_S
+            if not agent.isolated or self.now < agent.cut_since + UNACKNOWLEDGED_TIMEOUT_S
         }
         changes = self.keeper.review(self.now, self.epoch, members, shares_in(self.state.entries))
         if changes:
@@ -301,7 +301,7 @@
     agent = Agent("a", 0.0, 1.0, 0.0)
     assert not agent.lease.known
     share = agent.budget.share
-    share.without_roster.set_members(4, 0.0)
+    share.fallback.set_members(4, 0.0)
     assert share.amount("model", 40.0, 100.0) == 10.0
     agent.lease.use(roster_in({"share/b": b"g"}))
     assert share.amount("model", 40.0, 100.0) == 0.0
