--- a/src/nettledeal/dataplane/agent.py
+++ b/src/nettledeal/dataplane/agent.py
@@ -1,4 +1,4 @@
-"""The data plane of one process, assembled."""
+"""The data plane of one process: wires ingress, selection, forwarding and connections together."""
 
 from __future__ import annotations
 
@@ -30,18 +30,17 @@
 from nettledeal.shares.roster import roster_in
 
 MAINTENANCE_INTERVAL_S = 0.5
-# Of a process's memory, what messages may take beyond the first bytes of each.
+# Share of the process memory for buffering messages beyond the first bytes of each.
 MESSAGE_MEMORY_SHARE = 0.25
 MEBIBYTE = 1 << 20
-# Descriptors that are not for clients: files outside the disk folder, and what the process itself has.
+# File descriptors not available to clients: open files and what the process itself uses.
 RESERVED_FDS = 264
 CLIENT_FDS_SHARE = 0.7
-# Addresses of backends that are kept as read.
 ADDRESS_CACHE_SIZE = 16_384
 
 
 class DataPlane:
-    """Serves clients by the newest configuration and catalogue that it has been given."""
+    """Serves clients according to the latest configuration and catalogue."""
 
     def __init__(self, settings: Settings, random: Random | None = None):
         self.settings = settings
@@ -67,7 +66,7 @@
         self.control_version: object = None
         self.catalogue_version: object = None
         self.known_backends = KnownBackends()
-        self._catalogue_applied = False  # whether the last catalogue was taken up without a fault
+        self._catalogue_applied = False  # whether the last catalogue was applied without an error
         self._applied_connection_config: tuple[object, ...] = ()
         self.on_ready_changed: Callable[[bool], None] = lambda ready: None
         self._table = RoutingTable()
@@ -81,11 +80,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients may come: a configuration and a catalogue are held, and the process is to stay."""
+        """Whether clients may connect: configuration and catalogue are present, no drain has begun."""
         return self.ingress.can_serve and not self.ingress.draining
 
     def start(self, listener: StandardSocket | None = None) -> None:
-        """Take clients, from `listener` if given, and the platform's check. Raises OSError."""
+        """Accept clients, from `listener` if given, and readiness checks. Raises OSError."""
         frontend, readiness = self.settings.listen.frontend, self.settings.listen.readiness
         if listener is not None:
             self.ingress.start(cooperative(listener))
@@ -96,7 +95,7 @@
         self._maintenance = gevent.spawn(self._run_maintenance)
 
     def apply_control(self, version: object, entries: Mapping[str, bytes]) -> None:
-        """Take the control state as of `version`: the whole of it, by key."""
+        """Apply the complete control state as of `version`, by key."""
         was_ready = self.ready
         now = time.monotonic()
         table = updated_table(self._table, entries)
@@ -113,7 +112,7 @@
         self._publish_ready_change(was_ready)
 
     def _update_tenants(self, entries: Mapping[str, bytes]) -> None:
-        """Take tenants and their keys; what it needs is loaded with the first configuration that has any."""
+        """Apply tenants and their keys; the first configuration that has any imports the modules for them."""
         from nettledeal.tenancy.wiring import make_gate, rewritten_services
 
         if self.forwarding.tenants is None:
@@ -122,16 +121,16 @@
         self.forwarding.rewritten_services = rewritten_services(self._table.services)
 
     def tenants_page(self) -> bytes | None:
-        """Counts of lookups and refusals by tenant, in JSON; None while no configuration has had any."""
+        """Counts of lookups and refusals per tenant, in JSON; None while no configuration has had tenants."""
         gate = self.forwarding.tenants
         return None if gate is None else gate.counters.page()
 
     def apply_catalogue(
         self, version: object, entries: Mapping[str, bytes], changed_keys: Collection[str] | None = None
     ) -> None:
-        """Take the catalogue as of `version`: the whole of it, encoded backends by id.
+        """Apply the complete catalogue as of `version`, encoded backends by id.
 
-        `changed_keys`, where given, holds all that differ from the catalogue taken before.
+        `changed_keys`, if given, contains all keys that differ from the last applied catalogue.
         """
         was_ready = self.ready
         now = time.monotonic()
@@ -159,21 +158,21 @@
                 self.connections.remove(backend.id)
 
     def apply_report(self, report: BackendReport) -> None:
-        """Take what another agent of the zone has just found at backends."""
+        """Apply a report on backends from another agent of the zone."""
         self.selector.apply_report(report, time.monotonic())
 
     def set_data_plane_members(self, count: int, names: Collection[str]) -> None:
-        """Take the live data-plane members, this process included."""
+        """Set the live data-plane members, including this process."""
         self.equal_share.set_members(count, time.monotonic())
         self.connections.members = max(1, count)
         self.selector.set_agents(names, self.settings.node_name, time.monotonic())
 
     def set_suspect_zones(self, zones: Collection[str]) -> None:
-        """Take the zones that may be lost as a whole, by the members that are."""
+        """Set the zones that may have failed as a whole, judging by the members that did."""
         self.selector.set_suspect_zones(zones)
 
     def stop(self) -> None:
-        """Leave service in order; returns once every request has its answer, or the grace is nearly over."""
+        """Drain and stop; returns once every request has its response, or the grace period is nearly over."""
         was_ready = self.ready
         self.ingress.drain()
         self._publish_ready_change(was_ready)
@@ -199,7 +198,7 @@
         )
 
     def _connection_config(self) -> tuple[object, ...]:
-        """What the configuration says of connections: while it is the same, they are."""
+        """The part of the configuration that connections depend on."""
         services = self._table.services
         return self._table.evacuated, {name: service.max_connections for name, service in services.items()}
 
@@ -227,7 +226,7 @@
                     gevent.spawn(self._probe, backend_id)
 
     def _probe(self, backend_id: str) -> None:
-        """Try to reach a backend that no request goes to."""
+        """Try to connect to an unreachable backend."""
         pool = self.connections.pool(backend_id)
         try:
             if pool is not None and pool.try_connect(time.monotonic()):
@@ -236,7 +235,7 @@
             self._probing.discard(backend_id)
 
 
-# All backends are looked at where the configuration says something else of them.
+# Cached, since every change of the connection configuration goes through all backends.
 _backend_address = lru_cache(maxsize=ADDRESS_CACHE_SIZE)(parse_address)
 
 
--- a/src/nettledeal/dataplane/attempt_result.py
+++ b/src/nettledeal/dataplane/attempt_result.py
@@ -1,4 +1,4 @@
-"""What is certain after an attempt at a backend, and what the selection learns from it."""
+"""Results of attempts, as they matter to the client and to backend selection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from nettledeal.dataplane.backend_response import BackendResponse
 from nettledeal.dataplane.selection import AttemptOutcome
 
-# What a client takes for a promise that its request has not run and never will.
+# Clients take these statuses as a guarantee that the request was not and will not be executed.
 NOT_EXECUTED_STATUSES = frozenset(
     (
         HTTPStatus.REQUEST_TIMEOUT,
@@ -21,26 +21,26 @@
 
 
 class AttemptResult(Enum):
-    """What is certain after an attempt."""
+    """What is known about the request after an attempt."""
 
-    RESPONDED = auto()  # the client has its whole answer
+    RESPONDED = auto()  # the client has the complete response
     NOT_SENT = auto()  # no byte reached the backend
-    NOT_EXECUTED = auto()  # the backend says that it did not run it
-    BROKEN = auto()  # it may have run
+    NOT_EXECUTED = auto()  # the backend says that it did not execute it
+    BROKEN = auto()  # it may have been executed
 
 
 def is_refusal(response: BackendResponse) -> bool:
-    """Whether the backend gives the promise with a status that says so, so that another may be asked."""
+    """Whether the backend guarantees with a matching status that it didn't execute the request."""
     return response.not_executed and response.status in NOT_EXECUTED_STATUSES
 
 
 def attempt_outcome(
     response: BackendResponse, result: AttemptResult, expects_version: bool
 ) -> AttemptOutcome:
-    """What an attempt with this answer says of its backend.
+    """The outcome that selection learns from a response.
 
-    421 says that another one has the address, unless the client named a version of the weights: then it may
-    as well say that this backend has other ones.
+    421 means that the address belongs to another backend, unless the client asked for a version of the
+    weights: then it may also mean that this backend has other weights.
     """
     if result is AttemptResult.NOT_EXECUTED:
         replaced = response.status == HTTPStatus.MISDIRECTED_REQUEST and not expects_version
@@ -51,7 +51,7 @@
 
 
 def connect_outcome(error: ServingError) -> AttemptOutcome:
-    """What a failed connection says of the backend: nothing, where this agent has used its own part."""
+    """The outcome of a failed connect; the agent's own connection limit says nothing about the backend."""
     if error.code is ErrorCode.UNAVAILABLE:
         return AttemptOutcome.NOT_SENT
     return AttemptOutcome.UNREACHABLE
--- a/src/nettledeal/dataplane/backend_connections.py
+++ b/src/nettledeal/dataplane/backend_connections.py
@@ -1,7 +1,7 @@
-"""Connections to backends: kept alive, bounded, and closed before the backend does so.
+"""Connection pools: connections are kept alive, limited in number and closed before the backend closes them.
 
-A connection that has anything to read while nobody uses it, bytes or an end, is never used again: bytes that
-nobody asked for would be taken for the next answer.
+An idle connection that becomes readable, by data or end of file, is never reused: unexpected bytes would be
+taken for the response to the next request.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from nettledeal.net.transport.buffers import MemoryPool, ReadBuffer
 from nettledeal.net.transport.sockets import abandon, peek
 
-# How long a connection may take to come up, by what the last one to that backend took: one whose first packet
-# was lost or whose backend has gone dark comes much later or never.
+# Connect timeout, adapted to the last connect time of the backend: if the first packet was lost or the
+# backend is down, the connection takes much longer or is never established.
 FIRST_CONNECT_TIMEOUT_S = 0.4
 MIN_CONNECT_TIMEOUT_S = 0.2
 CONNECT_TIMEOUT_FACTOR = 6.0
-# What is not acknowledged for so long ends the connection; unanswered keep-alive probes do the same.
+# TCP user timeout for unacknowledged data; unanswered keepalive probes close the connection as well.
 UNACKNOWLEDGED_TIMEOUT_S = 3.0
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
-# A backend closes an idle connection at a time that it tells in whole seconds; its word travels.
+# Share of the backend's idle timeout that is used: it is stated in whole seconds, and counted from earlier.
 IDLE_SHARE = 0.6
-# Where it tells nothing, its limit may be anything under a second.
+# If the backend states none, its timeout may be below a second.
 DEFAULT_IDLE_LIMIT_S = 0.3
 MAX_IDLE_LIMIT_S = 10.0
-# Of the connections that a backend accepts from all agents together, what this agent's part is used up to.
+# Share of this agent's part of the connections that a backend accepts from all agents together.
 CONNECTIONS_SHARE = 0.8
 UNLIMITED_CONNECTIONS = 1 << 16
 MAX_RESPONSE_HEAD_BYTES = 16 * 1024
@@ -42,7 +42,7 @@
 
 
 class BackendConnection:
-    """One connection. It carries one request at a time; `release` or `close` must follow `acquire`."""
+    """One connection, for one request at a time; `release` or `close` must follow `acquire`."""
 
     def __init__(self, pool: BackendPool, sock: socket.socket, memory_pool: MemoryPool):
         self.pool = pool
@@ -50,55 +50,53 @@
         self.read_buffer = ReadBuffer(memory_pool, READ_CHUNK_BYTES + MAX_RESPONSE_HEAD_BYTES)
         self.idle_limit_s = DEFAULT_IDLE_LIMIT_S
         self.idle_since = 0.0
-        self.idle_before_request_s: float | None = (
-            None  # before the request that it carries; None on a new connection
-        )
+        self.idle_before_request_s: float | None = None  # before the current request; None if it is new
         self.closed = False
 
     def apply_keep_alive(self, value: bytes) -> None:
-        """Take the backend's limit for idle connections from its Keep-Alive header, if it gives one."""
+        """Apply the idle timeout from the backend's Keep-Alive header, if it states one."""
         for option in value.lower().split(b","):
             name, _, seconds = option.strip().partition(b"=")
             if name.strip() == b"timeout" and seconds.strip().isdigit():
                 self.idle_limit_s = min(MAX_IDLE_LIMIT_S, IDLE_SHARE * int(seconds))
 
     def release(self, now: float) -> None:
-        """The answer was whole and nothing came behind it: the connection may be used again."""
+        """Return the connection to the pool after a complete response with nothing behind it."""
         self.pool.put_back(self, now)
 
     def close(self) -> None:
-        """End the connection; a request that it carries is dropped by most backends."""
+        """Close the connection; most backends then cancel the request on it."""
         if not self.closed:
             self.closed = True
             abandon(self.sock)
             self.pool.connection_closed()
 
     def record_break(self, error: Exception, now: float) -> None:
-        """The connection broke under a request; one that did so unanswered after a rest was forgotten."""
+        """The connection broke during a request; a reset after an idle period means it had been dropped."""
         reset = isinstance(error, ConnectionResetError | BrokenPipeError)
         if reset and self.idle_before_request_s is not None and not self.read_buffer.filled:
             self.pool.learned_idle_limit.record_reset(self.idle_before_request_s, now)
 
     def idle_limit_reached(self, now: float) -> bool:
-        """Whether it has rested for as long as it may."""
+        """Whether it has been idle for as long as it may be."""
         limit_s = min(self.idle_limit_s, self.pool.learned_idle_limit.value_s(now))
         return now - self.idle_since >= limit_s
 
-    def reusable(self, now: float, most_idle_s: float = MAX_IDLE_LIMIT_S) -> bool:
-        """Whether the backend surely still has it open and has sent nothing."""
-        idle_limit_reached = self.idle_limit_reached(now) or now - self.idle_since >= most_idle_s
+    def reusable(self, now: float, max_idle_s: float = MAX_IDLE_LIMIT_S) -> bool:
+        """Whether the connection is within its idle limits and nothing has arrived on it."""
+        idle_limit_reached = self.idle_limit_reached(now) or now - self.idle_since >= max_idle_s
         return not idle_limit_reached and peek(self.sock) is None
 
 
 class ConnectionLimit:
-    """How many connections this agent may have to each backend that accepts `accepted` from all together."""
+    """This agent's connection limit per backend that accepts `accepted` from all agents together."""
 
     def __init__(self, accepted: int, members: int):
         self.accepted = accepted
         self.set_members(members)
 
     def set_members(self, members: int) -> None:
-        """Take the number of agents that share what is accepted."""
+        """Set the number of agents that share the accepted connections."""
         if self.accepted <= 0:
             self.max_open = UNLIMITED_CONNECTIONS
         else:
@@ -126,28 +124,28 @@
 
     @property
     def max_open(self) -> int:
-        """How many connections may be open at once."""
+        """Maximum number of open connections."""
         return self.limit.max_open
 
-    def has_idle(self, now: float, most_idle_s: float) -> bool:
-        """Whether `acquire` would probably find a connection that it may use again."""
+    def has_idle(self, now: float, max_idle_s: float) -> bool:
+        """Whether `acquire` would probably find a reusable connection."""
         if not self.idle:
             return False
         last = self.idle[-1]
-        return not last.idle_limit_reached(now) and now - last.idle_since < most_idle_s
+        return not last.idle_limit_reached(now) and now - last.idle_since < max_idle_s
 
     def acquire(
-        self, now: float, timeout_s: float, most_idle_s: float = MAX_IDLE_LIMIT_S
+        self, now: float, timeout_s: float, max_idle_s: float = MAX_IDLE_LIMIT_S
     ) -> BackendConnection:
-        """The connection used last if it has rested for less than `most_idle_s`, else a new one: one that
-        does not come up costs nothing.
+        """The last used connection if it has been idle for less than `max_idle_s`, else a new one: a failed
+        connect is harmless, as nothing was sent.
 
-        Raises ServingError: UNAVAILABLE where no more may be opened, CONNECTION_LOST where the backend
-        cannot be reached. Nothing has been sent in either case.
+        Raises ServingError: UNAVAILABLE if the limit is reached, CONNECTION_LOST if the backend can't be
+        reached. Nothing has been sent in either case.
         """
         while self.idle:
             connection = self.idle.pop()
-            if connection.reusable(now, most_idle_s):
+            if connection.reusable(now, max_idle_s):
                 connection.idle_before_request_s = now - connection.idle_since
                 return connection
             connection.close()
@@ -161,7 +159,7 @@
             raise
 
     def try_connect(self, now: float) -> bool:
-        """Whether a new connection comes up; it is kept for the next request."""
+        """Open a connection and keep it for the next request; returns whether the backend is reachable."""
         if self.open >= self.max_open:
             return True
         self.open += 1
@@ -201,7 +199,7 @@
         self.connect_timeout_s = min(FIRST_CONNECT_TIMEOUT_S, max(MIN_CONNECT_TIMEOUT_S, timeout_s))
 
     def put_back(self, connection: BackendConnection, now: float) -> None:
-        """Keep a connection for the next request, unless the backend is on its way out."""
+        """Keep a connection for the next request, unless the backend is retired."""
         if self.retired or connection.closed or self.open > self.max_open:
             connection.close()
             return
@@ -211,11 +209,11 @@
         self.idle.append(connection)
 
     def connection_closed(self) -> None:
-        """One of the connections has closed."""
+        """One of the connections was closed."""
         self.open -= 1
 
     def close_idle(self, now: float) -> None:
-        """Close what has been idle for its time. The deque is in the order of last use, not of limits."""
+        """Close connections past their idle limits; the deque is ordered by last use, not by limit."""
         kept = deque()
         for connection in self.idle:
             if connection.idle_limit_reached(now):
@@ -225,7 +223,7 @@
         self.idle = kept
 
     def retire(self) -> None:
-        """The backend is draining or gone: idle connections end, the others after their request."""
+        """The backend is draining or removed: close idle connections now, the others after their request."""
         self.retired = True
         while self.idle:
             self.idle.pop().close()
@@ -243,7 +241,7 @@
 
     @property
     def members(self) -> int:
-        """The agents that share what backends accept."""
+        """The number of agents that share the connections that backends accept."""
         return self._members
 
     @members.setter
@@ -253,7 +251,7 @@
             limit.set_members(count)
 
     def update(self, addresses: dict[str, Address], accepted: Mapping[str, int]) -> None:
-        """Take the usable backends by id, with how many connections each accepts from all agents together."""
+        """Set the usable backends by id, and how many connections each accepts from all agents together."""
         for backend_id in self.pools.keys() - addresses.keys():
             self.remove(backend_id)
         self._limits = {}
@@ -261,7 +259,7 @@
             self.change(backend_id, address, accepted.get(backend_id, 0))
 
     def change(self, backend_id: str, address: Address, accepted: int) -> None:
-        """Take one usable backend, which may be known."""
+        """Add or update one usable backend."""
         limit = self._limits.get(accepted)
         if limit is None:
             limit = self._limits[accepted] = ConnectionLimit(accepted, self._members)
@@ -274,27 +272,27 @@
         self.pools[backend_id] = BackendPool(address, self.memory_pool, limit, self.learned_idle_limit)
 
     def remove(self, backend_id: str) -> None:
-        """A backend is draining, evacuated or gone."""
+        """Remove a backend that is draining, evacuated or gone from the catalogue."""
         pool = self.pools.pop(backend_id, None)
         if pool is not None:
             pool.retire()
 
     def pool(self, backend_id: str) -> BackendPool | None:
-        """The pool of a backend, None once it is draining or gone."""
+        """The pool of a backend; None once it is draining or removed."""
         return self.pools.get(backend_id)
 
-    def has_idle(self, backend_id: str, now: float, most_idle_s: float) -> bool:
-        """Whether a connection to the backend rests that may be used again."""
+    def has_idle(self, backend_id: str, now: float, max_idle_s: float) -> bool:
+        """Whether there is a reusable idle connection to the backend."""
         pool = self.pools.get(backend_id)
-        return pool is not None and pool.has_idle(now, most_idle_s)
+        return pool is not None and pool.has_idle(now, max_idle_s)
 
     def close_idle(self, now: float) -> None:
-        """Close what has been idle for its time, everywhere."""
+        """Close connections past their idle limits in all pools."""
         for pool in self._idle_pools():
             pool.close_idle(now)
 
     def close(self) -> None:
-        """Close all idle connections; those in use end with their requests."""
+        """Close all idle connections; those in use are closed after their requests."""
         for pool in self.pools.values():
             pool.retire()
 
--- a/src/nettledeal/dataplane/backend_response.py
+++ b/src/nettledeal/dataplane/backend_response.py
@@ -1,4 +1,4 @@
-"""One answer of a backend: its head, what kind of answer it is, and its body as it comes."""
+"""Reads one response of a backend: its head, its kind, and its body as it arrives."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 MAX_INTERIM_RESPONSES = 8
 MAX_UNRELATED_RESPONSES = 4
 MAX_RESPONSE_BYTES = 1 << 40
-# A body of up to so many bytes is read whole before any of it goes on.
+# Bodies up to this size are read completely before they are relayed.
 MAX_BUFFERED_BODY_BYTES = 256 * 1024
 
 
 class BackendResponse:
-    """Reads the answer to one request from a connection; answers to other requests are skipped.
+    """Reads the response to one request from a connection, skipping responses to other requests.
 
-    All reading raises OSError where the connection breaks and Malformed where bytes form no answer. Where the
-    connection has a time-out, `still_there` is asked after each silence of that length whether to wait on.
+    All reads raise OSError if the connection breaks and Malformed if the bytes are no valid response. If the
+    connection has a timeout, `keep_waiting` is called after each timeout to decide whether to read on.
     """
 
     def __init__(
@@ -34,17 +34,17 @@
     ):
         self.connection = connection
         self.keep_waiting = keep_waiting
-        self.on_received: Callable[[], None] = lambda: None  # called whenever more of it has come
+        self.on_received: Callable[[], None] = lambda: None  # called whenever more bytes have arrived
         self.request_id = request_id
         self.bodiless = bodiless
         self.message = self._new_message()
         self.unrelated_count = 0
-        self._body_taken = 0  # pieces of the body that have been handed out
-        self._response_end = 0  # bytes of the buffer that belong to the answer
+        self._body_taken = 0  # nonzero once a body without a reader has been returned
+        self._response_end = 0  # end of the response in the buffer
         self._complete = False
 
     def read_head(self) -> None:
-        """Return once the head of the answer to our request has come."""
+        """Read until the head of the response to our request is complete."""
         while True:
             self._read_one_head()
             if self.message.headers.get(b"request-id") == self.request_id:
@@ -54,30 +54,30 @@
 
     @property
     def status(self) -> int:
-        """The status as the backend gave it."""
+        """The status code."""
         return self.message.status
 
     @property
     def not_executed(self) -> bool:
-        """The backend's word that the request was not run and will not be."""
+        """Whether the backend guarantees that the request was not and will not be executed."""
         return b"not-executed" in self.message.headers or self.status == HTTPStatus.MISDIRECTED_REQUEST
 
     @property
     def is_signed(self) -> bool:
-        """Whether the answer bears the backend's stamp."""
+        """Whether the response has a backend's signature header."""
         return b"server-signature" in self.message.headers
 
     @property
     def keep_alive(self) -> bytes:
-        """The backend's word on how long it keeps an idle connection."""
+        """The Keep-Alive header, in which the backend states its idle timeout."""
         return self.header(b"keep-alive")
 
     def header(self, name: bytes) -> bytes:
-        """The value of a header by its name in lower case; empty when it is missing."""
+        """The value of a header by its lower-case name; empty if missing."""
         return self.message.headers.get(name, b"")
 
     def retry_after_s(self, default_s: float) -> float:
-        """The seconds that the backend tells to wait, `otherwise` where it tells none."""
+        """The Retry-After header in seconds, `default_s` if there is none."""
         try:
             return max(0.0, float(self.header(b"retry-after")))
         except ValueError:
@@ -85,12 +85,12 @@
 
     @property
     def is_event_stream(self) -> bool:
-        """Whether the body is to be passed on event by event."""
+        """Whether the body is an event stream."""
         return self.message.headers.get(b"content-type", b"").lower().startswith(b"text/event-stream")
 
     @property
     def is_buffered(self) -> bool:
-        """Whether the body is small enough to be read whole before it goes on."""
+        """Whether the body is small enough to be read completely before it is relayed."""
         return (
             self.message.reader is None
             or (self.message.length or MAX_BUFFERED_BODY_BYTES + 1) <= MAX_BUFFERED_BODY_BYTES
@@ -98,23 +98,23 @@
 
     @property
     def length(self) -> int | None:
-        """The length of the body, if its head tells."""
+        """The length of the body, if the head states it."""
         return self.message.length
 
     @property
     def declared_length(self) -> int:
-        """The length that the head declares, also where no body follows."""
+        """The declared Content-Length, also if no body follows (HEAD)."""
         text = self.message.headers.get(b"content-length", b"")
         return int(text) if text.isdigit() else 0
 
     @property
     def is_complete(self) -> bool:
-        """All of the answer has been read."""
+        """Whether the whole response has been read."""
         return self._complete
 
     @property
     def leaves_connection_usable(self) -> bool:
-        """The answer is whole, nothing came behind it or before it, and the backend keeps the connection."""
+        """Whether the response is complete, nothing else arrived, and the backend keeps the connection."""
         clean = (
             self._complete
             and self._response_end == self.connection.read_buffer.filled
@@ -123,7 +123,7 @@
         return clean and self.message.keeps and not isinstance(self.message.reader, BodyUntilClose)
 
     def head_fields(self) -> bytes:
-        """The lines of the head that are for the client."""
+        """The header lines to be relayed to the client."""
         return self.message.passed_on()
 
     def read_body(self) -> memoryview | bytes:
@@ -133,7 +133,7 @@
         return self.message.body
 
     def read_pieces(self) -> list[bytes]:
-        """What has come of a long body; blocks until something has. Empty once the body is whole."""
+        """Newly arrived parts of a long body; blocks until there are some. Empty once it is complete."""
         pieces = self._take_pieces()
         while not pieces and not self._complete:
             self._read_more()
@@ -141,7 +141,7 @@
         return pieces
 
     def _read_more(self) -> None:
-        """Read on in the body; one without a length is whole once its connection ends in order."""
+        """Read more of the body; one without a length is complete when the connection closes normally."""
         if self._read_available():
             self._parse()
         elif self.message.ended():
@@ -150,7 +150,7 @@
             raise ConnectionResetError("the answer broke off")
 
     def _read_available(self) -> int:
-        """The number of bytes that came, 0 at the end of the connection."""
+        """Returns the number of bytes read, 0 at the end of the connection."""
         while True:
             try:
                 read = self.connection.read_buffer.read(
@@ -203,7 +203,7 @@
         raise Malformed(HTTPStatus.BAD_GATEWAY, "interim answers without end")
 
     def _skip_unrelated_response(self) -> None:
-        """Read past an answer that belongs to another request."""
+        """Read past a response to another request."""
         self.unrelated_count += 1
         if self.unrelated_count > MAX_UNRELATED_RESPONSES or b"request-id" not in self.message.headers:
             raise Malformed(HTTPStatus.BAD_GATEWAY, "no answer to this request")
@@ -223,5 +223,5 @@
         message = self.message
         end_is_declared = message.dated or b"close" in message.connection
         if isinstance(message.reader, BodyUntilClose) and not end_is_declared:
-            # Without a word of it, one that ends with its connection may as well never end.
+            # An undeclared read-until-close body may never end.
             raise Malformed(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
--- a/src/nettledeal/dataplane/call_description.py
+++ b/src/nettledeal/dataplane/call_description.py
@@ -1,4 +1,4 @@
-"""What the selection is told of a request, read from its headers and its route."""
+"""Builds the description of a request for backend selection from its headers and its route."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 def describe_call(
     request: ClientRequest, target: RouteTarget, service: str, body_bytes: int
 ) -> CallDescription:
-    """The description of one request; headers that can't be read say nothing.
+    """The description of one request; unreadable headers are ignored.
 
-    A tenant's request is described by the ids of its separated prompt. Raises ServingError with
-    UNPROVEN_TENANT where a request of a tenant's route was not admitted as a tenant's.
+    A tenant's request is described by the part ids of its separated prompt. Raises ServingError with
+    UNPROVEN_TENANT if a request on a tenant's route was not admitted as a tenant's.
     """
     prompt_tokens, output_tokens = _parse_token_usage(request.header(b"token-usage"))
     return CallDescription(
--- a/src/nettledeal/dataplane/client_request.py
+++ b/src/nettledeal/dataplane/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request, out of the buffer that it is read into, and what routing needs to know of it."""
+"""A client's request, parsed from the buffer that it is read into."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 MS_PER_S = 1000.0
 MAX_DEADLINE_S = 3600.0
-# Headers that are worded anew for each attempt at a backend.
+# Headers that are replaced in each attempt at a backend.
 _PER_ATTEMPT_HEADERS = (b"deadline-ms", b"expect-instance", b"priority")
 _PER_ATTEMPT_HEADERS_ON_RESUME = (*_PER_ATTEMPT_HEADERS, b"last-event-id")
-# What proves a tenant goes no further than this agent.
+# Tenant credentials are not forwarded to backends.
 _TENANT_HEADERS = (b"tenant", b"tenant-token")
 _PROMPT_PREFIX = b"prompt-prefix"
 _BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")
 
 
 class ClientRequest:
-    """One request; its parts are valid once `read` has said that it is whole."""
+    """One request; its properties are valid once `read` has reported that it is complete."""
 
     def __init__(self, max_header_bytes: int, max_body_bytes: int):
         self.message = Message(httptools.HttpRequestParser, max_body_bytes, most_head=max_header_bytes)
         self.received_at = 0.0
         self.continue_sent = False
-        self.separated: SeparatedPrompt | None = None  # of a tenant's request, once that is admitted
+        self.separated: SeparatedPrompt | None = None  # set once a tenant's request has been admitted
         self.rewrites_prompt = False
 
     def read(self, buffer: bytearray, filled: int) -> int | None:
-        """The bytes that the request takes, None while it is not whole. Raises Malformed."""
+        """The length of the request in bytes, None while it is incomplete. Raises Malformed."""
         return self.message.look(buffer, filled)
 
     def check(self) -> None:
-        """Raises Malformed where a backend could not be given this request as it is."""
+        """Raises Malformed if the request can't be forwarded to a backend as it is."""
         if not self.path.startswith(b"/"):
             raise Malformed(HTTPStatus.BAD_REQUEST, "the target is no path")
         if self.method in (b"CONNECT", b"TRACE"):
@@ -49,47 +49,47 @@
             raise Malformed(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 only")
 
     def header(self, name: bytes) -> bytes:
-        """The value of a header by its name in lower case; empty when it is missing."""
+        """The value of a header by its lower-case name; empty if missing."""
         return self.message.headers.get(name, b"")
 
     def count(self, name: bytes) -> int:
-        """How many headers have that name, in lower case."""
+        """How many headers have this lower-case name."""
         if name not in self.message.headers:
             return 0
         return sum(field.lower() == name for field, _ in self.message.fields)
 
     @property
     def method(self) -> bytes:
-        """The method as it came."""
+        """The request method."""
         return self.message.method
 
     @property
     def path(self) -> bytes:
-        """The target as it came, with its query."""
+        """The request target, including its query."""
         return self.message.url
 
     @property
     def request_id(self) -> bytes:
-        """The id of this try."""
+        """The Request-Id header, which identifies this attempt of the client."""
         return self.header(b"request-id")
 
     @property
     def expects_version(self) -> bool:
-        """Whether the client wants a certain version of the backend's weights."""
+        """Whether the client requires a certain version of the backend's weights."""
         return bool(self.header(b"expect-version"))
 
     @property
     def expects_continue(self) -> bool:
-        """The client sends the body only after an interim answer."""
+        """Whether the client waits for 100 Continue before it sends the body."""
         return self.message.head > 0 and self.header(b"expect").lower() == b"100-continue"
 
     @property
     def keeps_connection(self) -> bool:
-        """Whether the client would send another request on this connection."""
+        """Whether the connection stays open after this request."""
         return self.message.keeps
 
     def deadline_s(self, route_timeout_s: float) -> float:
-        """How long the client waits, in seconds from its request, bounded by the route's timeout."""
+        """How long the client waits, in seconds from its request, capped by the route's timeout."""
         text = self.header(b"deadline-ms")
         try:
             requested_s = float(text) / MS_PER_S if text else MAX_DEADLINE_S
@@ -102,7 +102,7 @@
     def parts_for(
         self, instance: str, priority: int, remaining_s: float, last_event_id: bytes | None = None
     ) -> list[bytes | memoryview]:
-        """The request as one backend gets it; `last_event_id` takes up a stream behind that event."""
+        """The request as sent to one backend; `last_event_id` resumes a stream after that event."""
         message = self.message
         replaced = _PER_ATTEMPT_HEADERS if last_event_id is None else _PER_ATTEMPT_HEADERS_ON_RESUME
         if self.separated is not None:
--- a/src/nettledeal/dataplane/draining.py
+++ b/src/nettledeal/dataplane/draining.py
@@ -1,7 +1,7 @@
-"""How a process leaves service: it serves on while clients still come, then finishes what it has read.
+"""Draining of a process: it keeps serving while clients still connect, then finishes what it has read.
 
-Clients keep the addresses that they were told for up to three times as long as they were told, so new
-connections are accepted until none has come for a while.
+Clients use resolved addresses for up to three times the TTL, so new connections are accepted until none has
+arrived for a while.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from nettledeal.common.settings import Bounds
 from nettledeal.dataplane.ingress import Ingress
 
-# Shares of the grace: until when connections are accepted, and by when the process must have ended.
+# Shares of the grace period: until when connections are accepted, and by when the process must have ended.
 ACCEPT_SHARE = 0.7
 END_SHARE = 0.92
-# No new connection for so long: the clients have learned that this process is leaving.
+# Without a new connection for this long, the clients are assumed to know that this process is leaving.
 QUIET_S = 1.5
 CHECK_INTERVAL_S = 0.05
 
@@ -32,7 +32,7 @@
         self.quiet_after = self.began_at + min(bounds.resolve_hold_s, ACCEPT_SHARE * bounds.grace_s)
 
     def run(self) -> None:
-        """Return once every request has its answer, at the latest shortly before the grace is over."""
+        """Return once every request has its response, at the latest shortly before the grace period ends."""
         while not self._may_stop_accepting(time.monotonic()):
             gevent.sleep(CHECK_INTERVAL_S)
         self.ingress.stop_accepting()
--- a/src/nettledeal/dataplane/event_stream.py
+++ b/src/nettledeal/dataplane/event_stream.py
@@ -1,4 +1,4 @@
-"""Events of a `text/event-stream` body: whole ones, and the id of the last."""
+"""Splits a `text/event-stream` body into complete events and tracks the id of the last one."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class EventSplitter:
-    """Holds back the part of an event that has not come whole, so that a stream may be cut between events."""
+    """Holds back incomplete events, so that a stream may be resumed between events."""
 
     def __init__(self) -> None:
         self.partial = b""
         self.last_id: bytes | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events among what has come so far."""
+        """Add data; returns the complete events received so far."""
         self.partial += data
         end = self.partial.rfind(_END)
         if end < 0:
@@ -25,8 +25,8 @@
         return whole
 
     def take_partial(self) -> bytes:
-        """What came behind the last whole event; part of the body where the stream ended in order, void where
-        it broke off."""
+        """The data after the last complete event: part of the body if the stream ended normally, to be
+        discarded if it broke off."""
         rest, self.partial = self.partial, b""
         return rest
 
--- a/src/nettledeal/dataplane/forwarding.py
+++ b/src/nettledeal/dataplane/forwarding.py
@@ -1,8 +1,8 @@
-"""A request on its way through the agent: attempts at backends until it has its one final answer.
+"""Forwards a request: attempts at backends until there is one final response.
 
-What was sent to a backend may have run unless the backend says that it has not; such a request is sent again
-only where its route lets it run more than once. 429 and 503 are a promise that the request has not run and
-never will, so they are given only where that is certain.
+A request that was sent to a backend may have been executed unless the backend states that it was not; it is
+retried only if its route allows it to run more than once. 429 and 503 guarantee that the request was not and
+will not be executed, so they are sent only if that is certain.
 """
 
 from __future__ import annotations
@@ -41,28 +41,28 @@
 if TYPE_CHECKING:
     from nettledeal.tenancy.gate import TenantGate
 
-# What the backend may not use of the time left, so that its last word can still reach the client.
+# Subtracted from the backend's deadline, so that its last response can still reach the client.
 DEADLINE_MARGIN_S = 0.02
-# With less time than this left, no attempt begins.
+# No attempt begins with less time than this left.
 MIN_ATTEMPT_S = 0.005
 DEFAULT_RETRY_AFTER_S = 0.25
-# Another backend has the address: the list that says so is on its way.
+# The address belongs to another backend: wait for the catalogue update.
 MISDIRECTED_RETRY_AFTER_S = 0.8
 MAX_ATTEMPTS_NOT_SENT = 4
 
 
 class WatchedClient(ClientWriter, Protocol):
-    """A client's connection that tells when the client leaves."""
+    """A client's connection that reports when the client disconnects."""
 
     def watch(self, on_disconnect: Callable[[], None]) -> None:
-        """Call `left` once the client closes its connection."""
+        """Call `on_disconnect` once the client closes its connection."""
 
     def unwatch(self) -> None:
         """Stop watching."""
 
 
 class Forwarding:
-    """What all requests of a process share."""
+    """State shared by all requests of a process."""
 
     def __init__(
         self, selector: Selector, budget: RetryBudget, connections: BackendConnections, random: Random
@@ -72,11 +72,11 @@
         self.connections = connections
         self.random = random
         self.in_progress = 0
-        self.tenants: TenantGate | None = None  # once a configuration names any
+        self.tenants: TenantGate | None = None  # set once a configuration has tenants
         self.rewritten_services: frozenset[str] = frozenset()
 
     def serve(self, request: ClientRequest, target: RouteTarget, client: WatchedClient) -> bool:
-        """Give the request its final answer; whether that answer is complete. Raises ClientLeft."""
+        """Send the final response; returns whether it is complete. Raises ClientDisconnected."""
         exchange = Exchange(self, request, target, client)
         self.in_progress += 1
         try:
@@ -87,7 +87,7 @@
 
 
 class Exchange:
-    """One request and its attempts."""
+    """One client request and its attempts at backends."""
 
     def __init__(
         self, forwarding: Forwarding, request: ClientRequest, target: RouteTarget, client: WatchedClient
@@ -110,7 +110,7 @@
         self.connection: BackendConnection | None = None
 
     def run(self) -> None:
-        """Attempt until there is a final answer."""
+        """Make attempts until there is a final response."""
         now = time.monotonic()
         self.forwarding.budget.record_request(self.service, now)
         timer = gevent.Timeout(max(0.0, self.deadline - now))
@@ -148,7 +148,7 @@
                     return self._give_up()
 
     def _may_attempt(self, now: float) -> bool:
-        """Whether one more attempt is within the bound of the route and the budget, which pays for it."""
+        """Whether the limits of the route and the budget allow another attempt; spends from the budget."""
         if self.attempts_not_sent >= MAX_ATTEMPTS_NOT_SENT:
             return False
         if self.attempts_sent == 0:
@@ -206,7 +206,7 @@
             selector.finish_attempt(attempt, outcome, time.monotonic())
 
     def _connect(self, backend_id: str, now: float) -> BackendConnection:
-        """A connection to the backend. Raises ServingError where none can be had, and ClientLeft."""
+        """A connection to the backend. Raises ServingError if there is none, and ClientDisconnected."""
         pool = self.forwarding.connections.pool(backend_id)
         if pool is None:
             raise ServingError(ErrorCode.UNAVAILABLE, "connect to backend", "not in use", backend_id)
@@ -233,7 +233,7 @@
     def _send(
         self, backend_id: str, connection: BackendConnection, silence_check: SilenceCheck
     ) -> BackendResponse | None:
-        """Send the request; None if the connection took no byte of it."""
+        """Send the request; None if no byte of it was accepted by the connection."""
         remaining_s = self.deadline - time.monotonic() - DEADLINE_MARGIN_S
         parts = self.request.parts_for(
             backend_id, self.target.route.priority, remaining_s, self.relay.last_event_id
@@ -251,7 +251,7 @@
         return BackendResponse(connection, self.request.request_id, bodiless, silence_check.keep_waiting)
 
     def _handle_response(self, response: BackendResponse) -> AttemptResult:
-        """Go by the head of an answer."""
+        """Decide by the head of a response: relay it, or treat the attempt as failed."""
         status = response.status
         if is_refusal(response):
             self._update_retry_after(response)
@@ -270,13 +270,13 @@
         return AttemptResult.RESPONDED
 
     def _could_retry(self) -> bool:
-        """Whether a failure at this backend may be mended at another one."""
+        """Whether the request could be retried at another backend."""
         more = self.attempts_sent < self.target.route.max_attempts
         now = time.monotonic()
         return more and self._may_retry() and self.forwarding.budget.available(self.service, now) >= 1.0
 
     def _drain_body(self, response: BackendResponse) -> None:
-        """Read the rest of a short answer that is not passed on, so that its connection can be kept."""
+        """Read the rest of a short response that is not relayed, so that its connection can be reused."""
         if response.is_buffered:
             response.read_body()
             self._release(response)
@@ -312,7 +312,7 @@
             self.relay.respond_directly(HTTPStatus.SERVICE_UNAVAILABLE, self.retry_after_s)
 
     def _on_client_disconnected(self) -> None:
-        """The client has closed its connection: called by the loop, so nothing here waits."""
+        """The client has closed its connection. Called by the event loop, so it must not block."""
         self.client_disconnected = True
         if self.connection is not None:
             self.connection.close()
--- a/src/nettledeal/dataplane/ingress.py
+++ b/src/nettledeal/dataplane/ingress.py
@@ -1,7 +1,7 @@
-"""Connections of clients: requests in, one answer to each in their order.
+"""Client connections: reads requests and sends one response to each, in order.
 
-A connection carries one request at a time; what is pipelined behind it waits unread. While its request is on
-its way the connection is watched, so that work for a client that has left ends.
+A connection has one request at a time; pipelined requests stay unread. While a request is in progress, the
+connection is watched, so that it is cancelled when the client disconnects.
 """
 
 from __future__ import annotations
@@ -27,18 +27,19 @@
 from nettledeal.operator_api.configuration import ClientLimits
 
 MS_PER_S = 1000.0
-# What was sent and is not acknowledged for so long ends the connection.
+# TCP user timeout for unacknowledged data.
 UNACKNOWLEDGED_TIMEOUT_S = 10.0
-# After an answer to what was not read whole, for the client to see it before the connection is reset.
+# After rejecting a request that wasn't read completely: time for the client to read the response before the
+# connection is reset.
 LINGER_S = 0.5
 MEMORY_RETRY_S = 0.25
-# From the start of this process to its first configuration and catalogue where the core machines start too:
-# expected by the first, sure by the second time. Clients come back between them, not all at once.
+# Time from the start of this process to its first configuration and catalogue if the core machines start
+# too: the expected and the maximum. Clients are told to retry at random times between them, not all at once.
 EXPECTED_START_S = 2.0
 MAX_START_S = 3.2
 MIN_STARTING_RETRY_S = 0.8
-# A request that comes before the configuration or the catalogue waits for them, for this share of its time at
-# most: answers may be expected soon, and one that is refused has to be told to come back much later.
+# A request that arrives before the configuration or the catalogue waits for them, for at most this share of
+# its deadline: they may arrive soon, and a refused request has to be told to retry much later.
 START_WAIT_SHARE = 0.05
 MAX_START_WAIT_S = 0.25
 ACCEPT_PAUSE_S = 0.05
@@ -47,10 +48,10 @@
 
 
 class RequestLimits:
-    """What a client may send, and how long it may take."""
+    """Size and time limits for client requests."""
 
     def __init__(self, table: RoutingTable):
-        # Before there is a configuration nobody is told that a request is too large: it may allow more.
+        # Without a configuration no request is rejected as too large, as a configuration may allow more.
         limits = table.limits or ClientLimits()
         self.header_bytes = limits.max_header_bytes
         self.body_bytes = limits.max_body_bytes
@@ -59,7 +60,7 @@
 
 
 class Ingress:
-    """The listener for clients and the connections that it has accepted."""
+    """The client listener and its accepted connections."""
 
     def __init__(self, forwarding: Forwarding, memory_pool: MemoryPool, max_connections: int):
         self.forwarding = forwarding
@@ -78,23 +79,23 @@
         self._accept_loop: gevent.Greenlet | None = None
 
     def use_table(self, table: RoutingTable) -> None:
-        """Take a new table for all requests from here on."""
+        """Use a new table for all later requests."""
         self.table = table
         self.limits = RequestLimits(table)
         self._signal_can_serve()
 
     def set_catalogue_received(self) -> None:
-        """Backends are known from here on."""
+        """Note that a catalogue was received."""
         self.has_catalogue = True
         self._signal_can_serve()
 
     @property
     def can_serve(self) -> bool:
-        """Whether there are a configuration and a catalogue, without which nothing can be served."""
+        """Whether there are a configuration and a catalogue, both required to serve requests."""
         return self.table.configured and self.has_catalogue
 
     def wait_until_can_serve(self, timeout_s: float) -> bool:
-        """Wait until requests can be served; whether they can."""
+        """Wait until requests can be served; returns whether they can."""
         return self.can_serve or (self._can_serve_event.wait(timeout_s) and self.can_serve)
 
     def _signal_can_serve(self) -> None:
@@ -102,12 +103,12 @@
             self._can_serve_event.set()
 
     def start(self, listener: socket.socket) -> None:
-        """Accept connections from a listening socket."""
+        """Accept connections on a listening socket."""
         self._listener = listener
         self._accept_loop = gevent.spawn(self._accept, listener)
 
     def stop_accepting(self) -> None:
-        """Close the listener; connections go on."""
+        """Close the listener; existing connections stay open."""
         if self._accept_loop is not None:
             self._accept_loop.kill()
             self._accept_loop = None
@@ -116,19 +117,19 @@
             self._listener = None
 
     def drain(self) -> None:
-        """Answers say from here on that their connections close."""
+        """Close connections after their next response, which announces it."""
         self.draining = True
         for connection in self.connections:
             connection.closing = connection.closing or not connection.idle
 
     def close_idle(self) -> None:
-        """Close the connections that have no request; nothing of one has been read."""
+        """Close the connections on which no part of a request has been read."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     @property
     def busy_connections(self) -> int:
-        """Connections with a request that has begun to come or has no answer yet."""
+        """Number of connections with a request that is partly read or has no response yet."""
         return sum(not connection.idle for connection in self.connections)
 
     def _accept(self, listener: socket.socket) -> None:
@@ -136,7 +137,7 @@
             try:
                 sock, _ = listener.accept()
             except OSError:
-                # Out of descriptors or a connection that went at once; the listener itself stays.
+                # Out of file descriptors, or the client disconnected at once; the listener itself stays open.
                 gevent.sleep(ACCEPT_PAUSE_S)
                 continue
             if len(self.connections) >= self.max_connections:
@@ -151,7 +152,7 @@
 
 
 class ClientConnection:
-    """One connection of a client, and the greenlet that serves it."""
+    """One client connection, served by its own greenlet."""
 
     def __init__(self, ingress: Ingress, sock: socket.socket):
         self.ingress = ingress
@@ -159,8 +160,8 @@
         self.idle = True
         self.closing = False
         self.closed = False
-        self.pipelined = False  # whether the request under way waited behind another one
-        self._pipelined_unread = False  # bytes behind the request under way, unread
+        self.pipelined = False  # whether the current request was queued behind another one
+        self._pipelined_unread = False  # whether unread bytes follow the current request
         self.read_buffer = ReadBuffer(
             ingress.memory_pool, ingress.limits.header_bytes + ingress.limits.body_bytes
         )
@@ -169,7 +170,7 @@
         ingress.connections[self] = None
 
     def run(self) -> None:
-        """Serve requests until the connection ends."""
+        """Serve requests until the connection is closed."""
         try:
             self._set_socket_options()
             while not self.closing:
@@ -183,14 +184,14 @@
             self._close()
 
     def send(self, parts: list[bytes | memoryview]) -> None:
-        """Write to the client. Raises ClientLeft."""
+        """Write to the client. Raises ClientDisconnected."""
         try:
             send_all(self.sock, parts)
         except OSError:
             raise ClientDisconnected from None
 
     def watch(self, on_disconnect: Callable[[], None]) -> None:
-        """Call `left` once the client closes its connection while nothing else reads from it."""
+        """Call `on_disconnect` once the client closes the connection; nothing else may read meanwhile."""
         self._on_disconnect = on_disconnect
         if self._watcher is None:
             self._watcher = get_hub().loop.io(self.sock.fileno(), _READABLE)
@@ -204,7 +205,7 @@
             self.ingress.hang_ups.unwatch(self.sock.fileno())
 
     def close_if_idle(self) -> bool:
-        """Close the connection unless it has a request; whether it did."""
+        """Close the connection unless it has a request; returns whether it was closed."""
         if not self.idle or self.closed:
             return False
         self._close()
@@ -216,7 +217,7 @@
             return
         self._watcher.stop()
         if seen:
-            # More requests wait unread; the client may still leave behind them.
+            # Pipelined requests stay unread; the client may still disconnect behind them.
             self._pipelined_unread = True
             self.ingress.hang_ups.watch(self.sock.fileno(), self._client_disconnected)
         else:
@@ -228,7 +229,7 @@
             self._on_disconnect()
 
     def _next_request(self) -> ClientRequest | None:
-        """The next request; None where the connection ends without one."""
+        """The next request; None if the connection ends without one."""
         self.pipelined = self.read_buffer.filled > 0 or self._pipelined_unread
         self._pipelined_unread = False
         self.idle = not self.read_buffer.filled
@@ -263,9 +264,9 @@
         return request
 
     def _wait_for_request(self) -> bool:
-        """Wait for the first byte of a request, as long as the limits in force at the time allow.
+        """Wait for the first byte of a request, up to the idle timeout currently in force.
 
-        A new configuration may let connections rest for longer than the one that the wait began under.
+        A new configuration may extend the timeout during the wait.
         """
         began_at = time.monotonic()
         while (left_s := began_at + self.ingress.limits.idle_timeout_s - time.monotonic()) > 0:
@@ -302,11 +303,11 @@
             self.closing = True
 
     def _max_start_wait_s(self, request: ClientRequest) -> float:
-        """How long a request may wait for a process that is about to be able to serve it."""
+        """How long a request may wait until this process can serve requests."""
         return min(MAX_START_WAIT_S, START_WAIT_SHARE * request.deadline_s(MAX_DEADLINE_S))
 
     def _forward(self, request: ClientRequest, target: RouteTarget) -> bool:
-        """Give the request its final answer; whether that answer is complete. Raises ClientLeft."""
+        """Send the final response; returns whether it is complete. Raises ClientDisconnected."""
         if target.of_tenants:
             admitted = self._admit(request, target)
             if admitted is None:
@@ -315,7 +316,7 @@
         return self.ingress.forwarding.serve(request, target, self)
 
     def _admit(self, request: ClientRequest, target: RouteTarget) -> RouteTarget | None:
-        """The route as it holds for the request's tenant; None once the request has been refused."""
+        """The route as it applies to the request's tenant; None if the request has been refused."""
         from nettledeal.tenancy.gate import TenantRefusal
 
         try:
@@ -326,9 +327,9 @@
             return None
 
     def _refuse_until_ready(self, request: ClientRequest) -> None:
-        """Many clients come back only once, so they are told a time at which this process is surely ready.
+        """Respond 503. Many clients retry only once, so Retry-After allows enough time to become ready.
 
-        A client that has less time left comes back sooner of itself.
+        A client with less time left retries sooner on its own.
         """
         uptime_s = time.monotonic() - self.ingress.started_at
         ready_after_s = self.ingress.forwarding.random.uniform(EXPECTED_START_S, MAX_START_S)
@@ -337,7 +338,7 @@
         self.send([agent_response(status, request.request_id, retry_after_s, self.closing)])
 
     def _reject(self, status: HTTPStatus, retry_after_s: float | None = None) -> None:
-        """Answer what could not be read whole, and end the connection without resetting it at once."""
+        """Respond to an incomplete request and close the connection without resetting it at once."""
         self.closing = True
         with suppress(OSError):
             send_all(self.sock, [agent_response(status, b"", retry_after_s, True)])
--- a/src/nettledeal/dataplane/known_backends.py
+++ b/src/nettledeal/dataplane/known_backends.py
@@ -1,4 +1,4 @@
-"""The catalogue as this process holds it, with countdowns that run on from when each entry was received."""
+"""Decoded catalogue entries; warm-up countdowns continue from when each entry was received."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     received_at: float
 
     def as_of(self, now: float) -> Backend:
-        """The backend with what is left of its warm-up."""
+        """The backend with its remaining warm-up time."""
         if self.backend.warmup_left_ms <= 0:
             return self.backend
         left_ms = self.backend.warmup_left_ms - MS_PER_S * (now - self.received_at)
@@ -27,20 +27,20 @@
 
 
 class BackendChanges(msgspec.Struct, frozen=True):
-    """What differs in a new catalogue: backends that are new or otherwise than before, ids that are gone."""
+    """Differences of a new catalogue: new or changed backends, and removed ids."""
 
     changed: tuple[Backend, ...]
     removed: tuple[str, ...]
 
 
 class KnownBackends:
-    """Backends by id; only entries that have changed are read."""
+    """Backends by id; only changed entries are decoded."""
 
     def __init__(self) -> None:
         self._received: dict[str, _ReceivedEntry] = {}
 
     def update(self, entries: Mapping[str, bytes], now: float) -> list[Backend]:
-        """Take the whole catalogue and return its backends as of now."""
+        """Apply the whole catalogue and return its backends as of now."""
         received: dict[str, _ReceivedEntry] = {}
         for backend_id, value in entries.items():
             held = self._received.get(backend_id)
@@ -52,7 +52,7 @@
         return self.as_of(now)
 
     def change(self, entries: Mapping[str, bytes], keys: Iterable[str], now: float) -> BackendChanges:
-        """Take a catalogue that differs from the one before in `keys` at most."""
+        """Apply a catalogue that differs from the previous one at most in `keys`."""
         changed: list[Backend] = []
         removed: list[str] = []
         for backend_id in keys:
@@ -69,12 +69,12 @@
         return BackendChanges(tuple(changed), tuple(removed))
 
     def as_of(self, now: float) -> list[Backend]:
-        """All backends, with what is left of their warm-ups."""
+        """All backends with their remaining warm-up times."""
         return [entry.as_of(now) for entry in self._received.values()]
 
 
 def _decode(value: bytes, now: float) -> _ReceivedEntry | None:
-    """None for an entry that cannot be read: the others still count."""
+    """None for an unreadable entry, which doesn't affect the others."""
     try:
         return _ReceivedEntry(value, decode_backend(value), now)
     except ServingError as error:
--- a/src/nettledeal/dataplane/readiness.py
+++ b/src/nettledeal/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's own check: `GET /readyz` at a separate address; `GET /tenants` where there are tenants."""
+"""Readiness check for the platform: `GET /readyz` at a separate address, and `GET /tenants`, if any."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ReadinessServer:
-    """Answers 200 while `is_ready` says so, else 503; `tenants_page` gives counts by tenant, if any."""
+    """Responds 200 while `is_ready()`, else 503; `tenants_page` returns counts per tenant, if any."""
 
     def __init__(self, is_ready: Callable[[], bool], tenants_page: Callable[[], bytes | None] = lambda: None):
         self.is_ready = is_ready
--- a/src/nettledeal/dataplane/response_heads.py
+++ b/src/nettledeal/dataplane/response_heads.py
@@ -1,4 +1,4 @@
-"""Heads of answers: the agent's own, and those of backends as their clients get them."""
+"""Response heads: those of the agent itself, and those of backends as relayed to clients."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     close: bool = False,
     body: bytes = b"",
 ) -> bytes:
-    """An answer of the agent itself; what clients get has no body."""
+    """A response of the agent itself; clients get it without a body."""
     lines = [f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Length: {len(body)}\r\n".encode("ascii")]
     if request_id:
         lines.append(b"Request-Id: %b\r\n" % request_id)
@@ -28,9 +28,9 @@
 
 
 def relayed_response_head(status: int, fields: bytes, length: int | None, close: bool) -> bytes:
-    """The head of a backend's answer for the client: its own lines, framed anew for this connection.
+    """The head of a backend's response for the client: its own fields with new framing headers.
 
-    Without a length the body goes out in chunks.
+    Without a length the body is sent in chunks.
     """
     framing = b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
     ending = b"Connection: close\r\n\r\n" if close else b"\r\n"
--- a/src/nettledeal/dataplane/response_relay.py
+++ b/src/nettledeal/dataplane/response_relay.py
@@ -1,4 +1,4 @@
-"""The one answer that a client gets, whichever backends contribute to it."""
+"""Relays responses to a client; one response may continue across several backends."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 class ClientDisconnected(Exception):
-    """The client has closed its connection; nobody waits for the answer."""
+    """The client has closed its connection."""
 
 
 class ClientWriter(Protocol):
-    """The client's connection, as the answer needs it."""
+    """The interface to the client's connection."""
 
-    closing: bool  # the connection is not kept behind this answer
+    closing: bool  # the connection is closed after this response
 
     def send(self, parts: list[bytes | memoryview]) -> None:
-        """Raises ClientLeft."""
+        """Raises ClientDisconnected."""
 
 
 class ResponseRelay:
-    """Passes a backend's answer on unchanged, as it comes; a resumable stream may continue from another one.
+    """Passes a backend's response on unchanged as it arrives; another backend may resume a stream.
 
-    Once the head has gone out, an answer that can't be completed ends with the connection and without its
-    last chunk, so that nobody takes it for whole.
+    Once the head has been sent, a response that can't be completed ends by closing the connection without the
+    last chunk, so that the client doesn't take it for complete.
     """
 
     def __init__(self, client: ClientWriter, request_id: bytes, resumable: bool):
@@ -40,16 +40,16 @@
 
     @property
     def last_event_id(self) -> bytes | None:
-        """The id of the last whole event that the client has been sent."""
+        """The id of the last complete event sent to the client."""
         return self.events.last_id if self.events is not None else None
 
     @property
     def resumable(self) -> bool:
-        """Whether another backend could take up what has been sent so far."""
+        """Whether another backend could continue the response from here."""
         return self.events is not None and (not self.started or self.events.last_id is not None)
 
     def respond_directly(self, status: HTTPStatus, retry_after_s: float | None = None) -> None:
-        """Answer for the agent itself; after a head has gone out the answer stays incomplete."""
+        """Send a response of the agent itself; if a head has been sent, the response stays incomplete."""
         if self.started:
             self.client.closing = True
             return
@@ -58,7 +58,7 @@
         self.complete = True
 
     def relay(self, response: BackendResponse) -> None:
-        """Pass on the answer. Raises ClientLeft, or OSError and Malformed where the backend breaks it off."""
+        """Relay the response. Raises ClientDisconnected, or OSError and Malformed if the backend fails."""
         if response.is_event_stream:
             self._relay_stream(response)
         elif response.is_buffered:
@@ -87,10 +87,10 @@
         self.client.send(parts + ([LAST_CHUNK] if chunked else []))
 
     def _relay_stream(self, response: BackendResponse) -> None:
-        """The head goes out with the first event: until then another backend may still answer."""
+        """The head is sent with the first event: until then another backend may still respond."""
         parts: list[bytes | memoryview] = []
         if self.events is not None:
-            self.events.take_partial()  # of a backend that broke off
+            self.events.take_partial()  # left over from a backend that broke off
         if not self.started:
             parts = [
                 relayed_response_head(response.status, response.head_fields(), None, self.client.closing)
--- a/src/nettledeal/dataplane/retry_budget.py
+++ b/src/nettledeal/dataplane/retry_budget.py
@@ -1,8 +1,8 @@
-"""The retry budget: how many further attempts a process may start without asking anyone.
+"""The retry budget: how many additional attempts a process may start without coordination.
 
-The budget of a service holds for all agents together: in any window, attempts past the first of each request
-may come to `ratio` x requests + `slack`. Every agent may spend what its own requests earn, and its part of
-the slack by the share roster (`shares`). Times are seconds of a monotonic clock.
+The budget of a service applies to all agents together: in any window, attempts after the first of each
+request may number up to `ratio` x requests + `slack`. Each agent may spend what its own requests earn, and its
+part of the slack according to the share roster (`shares`). Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class SlackShare(Protocol):
-    """Where an agent's part of the slack comes from."""
+    """Provides an agent's part of the slack."""
 
     def amount(self, service: str, slack: float, now: float) -> float:
-        """Attempts of the slack that this process may start in one window."""
+        """Attempts from the slack that this process may start in one window."""
         ...
 
 
 class BudgetTerms(msgspec.Struct, frozen=True):
-    """The figures of the budget and the safety kept from them.
+    """The parameters of the budget and their safety margins.
 
-    Of the slack more is kept back: out of it processes that have just started or are out of touch spend.
+    The slack has a larger margin, as processes that have just started or are disconnected also spend from it.
     """
 
     ratio: float
@@ -34,15 +34,15 @@
     window_s: float
     margin: float = 0.75
     slack_margin: float = 0.65
-    # Spent attempts are remembered longer and earned ones shorter than the window: they travel.
+    # Spent attempts are counted longer and earned ones shorter than the window, to allow for network delay.
     window_margin_s: float = 0.75
 
 
 class EqualShare:
-    """An equal part of the slack for each data-plane member seen of late.
+    """An equal part of the slack for each data-plane member seen recently.
 
-    For a core that makes no roster: one of an earlier release, or before the first. One that is cut off sees
-    the others go, while they still spend their parts: so the most members seen count.
+    Used while the core has published no roster (an earlier release, or before the first). A partitioned
+    process sees the others leave while they still spend their parts, so the largest member count applies.
     """
 
     def __init__(self, window_s: float = 30.0):
@@ -50,13 +50,13 @@
         self._views: deque[tuple[float, int]] = deque()
 
     def set_members(self, members: int, now: float) -> None:
-        """The number of data-plane members, this one included."""
+        """Set the number of data-plane members, including this one."""
         while self._views and self._views[-1][1] <= members:
             self._views.pop()
         self._views.append((now, members))
 
     def members(self, now: float) -> int:
-        """The most members seen within the memory; the newest view counts however old it is."""
+        """The largest member count within the window; the newest view applies however old it is."""
         while len(self._views) > 1 and self._views[1][0] < now - self.window_s:
             self._views.popleft()
         return max(1, self._views[0][1]) if self._views else 1
@@ -66,7 +66,7 @@
 
 
 class LeasedShare:
-    """The part of the slack that the share roster grants; an equal one as long as there is no roster."""
+    """The part of the slack granted by the share roster; an equal part while there is no roster."""
 
     def __init__(self, lease: ShareLease, window_s: float, fallback: EqualShare):
         self.lease = lease
@@ -81,7 +81,7 @@
 
 
 class RetryBudget:
-    """Decides whether one more attempt may start."""
+    """Decides whether an additional attempt may start."""
 
     def __init__(self, terms: BudgetTerms, share: SlackShare):
         self.terms = terms
@@ -90,13 +90,13 @@
         self._spent: dict[str, deque[float]] = {}
 
     def record_request(self, service: str, now: float) -> None:
-        """A client's request on a route to `service` was taken."""
+        """A client's request on a route to `service` was accepted; it earns budget."""
         earned = self._earned.setdefault(service, deque())
         earned.append(now)
         self._drop_before(earned, now - self.terms.window_s + self.terms.window_margin_s)
 
     def available(self, service: str, now: float) -> float:
-        """Attempts that may start now, as a fraction; under 1 there is none."""
+        """Attempts that may start now, as a fraction; below 1 none may."""
         earned = self._earned.get(service, deque())
         spent = self._spent.get(service, deque())
         self._drop_before(earned, now - self.terms.window_s + self.terms.window_margin_s)
@@ -105,14 +105,14 @@
         return slack + self.terms.ratio * self.terms.margin * len(earned) - len(spent)
 
     def try_spend(self, service: str, now: float) -> bool:
-        """Take one further attempt (a retry, or a stream resumed at another backend) if the budget has it."""
+        """Spend one additional attempt (a retry, or a stream resumed at another backend) if available."""
         if self.available(service, now) < 1.0:
             return False
         self._spent.setdefault(service, deque()).append(now)
         return True
 
     def refund(self, service: str) -> None:
-        """The attempt taken last was never sent to a backend."""
+        """Return the last spent attempt, which was never sent to a backend."""
         spent = self._spent.get(service)
         if spent:
             spent.pop()
--- a/src/nettledeal/dataplane/routing_table.py
+++ b/src/nettledeal/dataplane/routing_table.py
@@ -1,8 +1,8 @@
-"""Routes by host and path. A table is immutable; changes make a new one, which takes its place at once.
+"""Routes by host and path. A table is immutable; a change creates a new one that replaces it atomically.
 
 The table is built from keyed entries of the configuration: `route/<hostname> <prefix>`, or `tenant-route/...`
-where its requests belong to tenants, `service/<name>`, `limits` and `evacuation/<zone>`. Only what has
-changed between two versions is read again.
+for routes with tenants, `service/<name>`, `limits` and `evacuation/<zone>`. Only entries that differ between
+two versions are decoded.
 """
 
 from __future__ import annotations
@@ -30,8 +30,10 @@
 
 
 class LowDiscrepancySequence:
-    """Numbers in [0, 1) of which any stretch fills each part nearly by its size (multiples of the golden
-    ratio). Drawn independently, the parts of a few hundred requests would be off by some in a hundred."""
+    """Evenly spread numbers in [0, 1): multiples of the golden ratio, modulo 1.
+
+    With independent random numbers, a traffic split over a few hundred requests would be off by some percent.
+    """
 
     __slots__ = ("_last",)
 
@@ -39,14 +41,14 @@
         self._last: float | None = None
 
     def next(self, random: Random) -> float:
-        """The next number; `random` gives the first."""
+        """The next number; `random` provides the first."""
         self._last = random.random() if self._last is None else (self._last + GOLDEN_RATIO) % 1.0
         return self._last
 
 
 @dataclass(frozen=True, slots=True)
 class RouteTarget:
-    """A route with what each of its requests needs, worked out once."""
+    """A route with precomputed values for its requests."""
 
     route: Route
     services: tuple[str, ...]
@@ -60,7 +62,7 @@
     split_sequence: LowDiscrepancySequence = field(default_factory=LowDiscrepancySequence, compare=False)
 
     def pick_service(self, random: Random) -> str:
-        """A service by the weights of the traffic split."""
+        """Pick a service by the weights of the traffic split."""
         if len(self.services) == 1:
             return self.services[0]
         point = self.split_sequence.next(random) * self.cumulative_weights[-1]
@@ -69,7 +71,7 @@
 
 
 def route_target(route: Route) -> RouteTarget:
-    """What the requests of `route` need."""
+    """Precompute the values for the requests of `route`."""
     split = [part for part in route.weighted_services if part.weight > 0]
     resumable = route.route_type is RouteType.STREAMING and route.resumable
     return RouteTarget(
@@ -96,11 +98,11 @@
 
     @property
     def configured(self) -> bool:
-        """Whether a configuration has been taken up."""
+        """Whether a configuration has been applied."""
         return self.limits is not None
 
     def find(self, host: bytes, target: bytes) -> RouteTarget | None:
-        """The route of the longest prefix of the target's path, for that host."""
+        """The route with the longest matching path prefix for the host."""
         name = host.partition(b":")[0].decode("latin-1").lower()
         prefixes = self.hosts.get(name)
         if prefixes is None:
@@ -116,9 +118,9 @@
 
 
 def updated_table(table: RoutingTable, entries: Mapping[str, bytes]) -> RoutingTable:
-    """The table of `entries`; reads only what differs from the one before.
+    """The table for `entries`; decodes only what differs from `table`.
 
-    Raises msgspec.ValidationError or msgspec.DecodeError where an entry cannot be read.
+    Raises msgspec.ValidationError or msgspec.DecodeError if an entry can't be decoded.
     """
     entries = dict(entries)
     hosts = dict(table.hosts)
@@ -170,7 +172,7 @@
 def _copy_once(
     host: str, hosts: dict[str, Mapping[str, RouteTarget]], copied_hosts: set[str]
 ) -> dict[str, RouteTarget]:
-    """The prefixes of a host as a copy that the table in force does not share."""
+    """The prefixes of a host, copied at the first change so that the current table stays unchanged."""
     if host not in copied_hosts:
         hosts[host] = dict(hosts.get(host, {}))
         copied_hosts.add(host)
--- a/src/nettledeal/dataplane/server_load.py
+++ b/src/nettledeal/dataplane/server_load.py
@@ -1,4 +1,4 @@
-"""What a backend tells of its load in an answer: `Server-Load: running,waiting,slots`."""
+"""Parses the load that a backend reports in a response: `Server-Load: running,waiting,slots`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def read_server_load(value: bytes) -> ReportedLoad | None:
-    """The load told in a header; None where there is none, or none that can be."""
+    """The load in a header value; None if it is empty or implausible."""
     parts = [part.strip() for part in value.split(b",")] if value else []
     if len(parts) != 3 or not all(part.isdigit() and len(part) <= MAX_DIGITS for part in parts):
         return None
--- a/src/nettledeal/dataplane/silence_check.py
+++ b/src/nettledeal/dataplane/silence_check.py
@@ -1,8 +1,8 @@
-"""A backend that is silent on a request: it is asked for a new connection, by which nothing is lost.
+"""Checks a backend that is silent during a request by opening a new connection, which does no harm.
 
-A backend that has crashed without a word, or is cut off, takes no connection; one that only works takes it.
-So the loss of a backend is known within a fraction of what a first event may take, and a request that may run
-more than once goes to another backend while it may still be in time. Silence alone ends no answer.
+A backend that has crashed without notice, or is partitioned, accepts no connection; a busy one does. So a
+crash is detected within a fraction of the time that a first event may take, and a request that may run more
+than once goes to another backend while it can still be in time. Silence alone never ends a response.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from nettledeal.dataplane.backend_connections import BackendConnection
 from nettledeal.dataplane.selection import Attempt, Selector
 
-# Between the events of a stream.
+# Silence between the events of a stream before the check.
 STREAM_CHECK_DELAY_S = 0.6
-# How much longer the next silence may be after the backend was found there.
+# How much longer the next silence may be after a successful check.
 CHECK_DELAY_GROWTH = 2.0
 
 
@@ -40,11 +40,11 @@
         self._set_timeout(self.selector.connect_check_delay_s(self.attempt))
 
     def on_head_received(self, resumable: bool) -> None:
-        """The head has come; only a stream that can be taken up elsewhere is watched further."""
+        """The head has arrived; from here on only a resumable stream is checked."""
         self._set_timeout(STREAM_CHECK_DELAY_S if resumable else None)
 
     def keep_waiting(self) -> bool:
-        """Whether to wait on after a silence; false where another backend should be asked instead."""
+        """Whether to keep waiting after a silence; false if the request should go to another backend."""
         if self.connection.pool.try_connect(time.monotonic()):
             self._set_timeout(CHECK_DELAY_GROWTH * self.check_delay_s)
             return True
--- a/src/nettledeal/dataplane/stream_pauses.py
+++ b/src/nettledeal/dataplane/stream_pauses.py
@@ -1,4 +1,4 @@
-"""The pauses in a backend's stream, which tell the selection of its load while the stream lasts."""
+"""Measures the pauses in a backend's stream, which indicate its load while the stream lasts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StreamPauses:
-    """Measures from one reading of a stream to the next, and tells the selection."""
+    """Reports the time between successive reads of a stream to the selector."""
 
     def __init__(self, selector: Selector, attempt: Attempt):
         self.selector = selector
@@ -16,7 +16,7 @@
         self.last_received_at = time.monotonic()
 
     def on_received(self) -> None:
-        """More of the stream has come."""
+        """More of the stream has arrived."""
         now = time.monotonic()
         self.selector.record_stream_pause(self.attempt, now - self.last_received_at, now)
         self.last_received_at = now
--- a/tests/system/test_dataplane_idle_limit.py
+++ b/tests/system/test_dataplane_idle_limit.py
@@ -7,7 +7,7 @@
 
 from nettledeal.common.addresses import Address
 from nettledeal.dataplane.backend_connections import BackendConnection, BackendConnections
-from nettledeal.dataplane.idle_limit import MEMORY_S, MIN_IDLE_LIMIT_S, LearnedIdleLimit
+from nettledeal.dataplane.idle_limit import LEARNED_LIMIT_TTL_S, MIN_IDLE_LIMIT_S, LearnedIdleLimit
 from nettledeal.net.transport.buffers import MemoryPool
 
 
@@ -20,7 +20,7 @@
     limit.record_reset(0.2, 1.0)
     limit.record_reset(0.4, 2.0)
     assert limit.value_s(3.0) == pytest.approx(0.1)
-    assert limit.value_s(2.0 + MEMORY_S) == float("inf")
+    assert limit.value_s(2.0 + LEARNED_LIMIT_TTL_S) == float("inf")
 
 
 def test_a_backend_that_ended_after_no_rest_does_not_end_all_reuse():
