--- a/src/nettledeal/dataplane/backend_response.py
+++ b/src/nettledeal/dataplane/backend_response.py
@@ -147,7 +147,7 @@
         elif self.message.ended():
             self._complete = True
         else:
-            raise ConnectionResetError("the answer broke off")
+            raise ConnectionResetError("backend closed the connection before the end of the response")
 
     def _read_available(self) -> int:
         """Returns the number of bytes read, 0 at the end of the connection."""
@@ -195,18 +195,18 @@
                 self._parse()
             while not self.message.head:
                 if not self._read_available():
-                    raise ConnectionResetError("no answer")
+                    raise ConnectionResetError("backend closed the connection without a response")
                 self._parse()
             if self.message.status >= HTTPStatus.OK:
                 return
             self._next_message(self.message.head)
-        raise Malformed(HTTPStatus.BAD_GATEWAY, "interim answers without end")
+        raise Malformed(HTTPStatus.BAD_GATEWAY, "too many interim responses")
 
     def _skip_unrelated_response(self) -> None:
         """Read past a response to another request."""
         self.unrelated_count += 1
         if self.unrelated_count > MAX_UNRELATED_RESPONSES or b"request-id" not in self.message.headers:
-            raise Malformed(HTTPStatus.BAD_GATEWAY, "no answer to this request")
+            raise Malformed(HTTPStatus.BAD_GATEWAY, "response to a different request")
         self._check_framing()
         while not self._complete:
             self.read_pieces()
@@ -224,4 +224,4 @@
         end_is_declared = message.dated or b"close" in message.connection
         if isinstance(message.reader, BodyUntilClose) and not end_is_declared:
             # An undeclared read-until-close body may never end.
-            raise Malformed(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
+            raise Malformed(HTTPStatus.BAD_GATEWAY, "response length is not declared")
--- a/src/nettledeal/dataplane/client_request.py
+++ b/src/nettledeal/dataplane/client_request.py
@@ -40,9 +40,9 @@
     def check(self) -> None:
         """Raises Malformed if the request can't be forwarded to a backend as it is."""
         if not self.path.startswith(b"/"):
-            raise Malformed(HTTPStatus.BAD_REQUEST, "the target is no path")
+            raise Malformed(HTTPStatus.BAD_REQUEST, "request target is not a path")
         if self.method in (b"CONNECT", b"TRACE"):
-            raise Malformed(HTTPStatus.NOT_IMPLEMENTED, "the method is not passed on")
+            raise Malformed(HTTPStatus.NOT_IMPLEMENTED, "method is not supported")
         if not self.request_id:
             raise Malformed(HTTPStatus.BAD_REQUEST, "Request-Id is missing")
         if self.message.dated:
--- a/src/nettledeal/dataplane/retry_budget.py
+++ b/src/nettledeal/dataplane/retry_budget.py
@@ -1,8 +1,8 @@
 """The retry budget: how many additional attempts a process may start without coordination.
 
 The budget of a service applies to all agents together: in any window, attempts after the first of each
-request may number up to `ratio` x requests + `slack`. Each agent may spend what its own requests earn, and its
-part of the slack according to the share roster (`shares`). Times are seconds of a monotonic clock.
+request may number up to `ratio` x requests + `slack`. Each agent may spend what its own requests earn, and
+its part of the slack according to the share roster (`shares`). Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
--- a/tests/system/dataplane_rig.py
+++ b/tests/system/dataplane_rig.py
@@ -289,9 +289,9 @@
 
     def first_choice(self, *order: StandIn) -> None:
         """The selection takes these in this order."""
-        chooser = self.plane.selector
+        selector = self.plane.selector
         by_id = {backend.id: rank for rank, backend in enumerate(order)}
-        chooser.placement.random = _FirstOf(by_id)
+        selector.placement.random = _FirstOf(by_id)
 
 
 class _FirstOf(Random):
--- a/tests/system/engine_fleet.py
+++ b/tests/system/engine_fleet.py
@@ -1,7 +1,7 @@
-"""A small fleet for tests of the selection: agents with their selectors, model engines and clients.
+"""Simulated agents, model engines and clients for tests of backend selection.
 
-Pure and seeded: time is a number that the event queue moves. An engine runs a batch in steps, reads prompts
-in pieces between the tokens of others, and keeps the prefixes that it has read until memory runs short.
+Deterministic for a seed: an event queue advances a simulated clock. An engine runs its batch in steps, reads
+prompts in chunks between the output tokens of others, and caches prefixes until memory runs short.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     Tuning,
 )
 
-AGAIN_S = 10.0
+REREAD_WINDOW_S = 10.0
 PROBE_INTERVAL_S = 0.5
 
 
 class Clock:
-    """An event queue."""
+    """A simulated clock with an event queue."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -48,21 +48,21 @@
 
 @dataclass(frozen=True)
 class EngineModel:
-    """Speeds of a model engine."""
+    """Speed and capacity of a model engine."""
 
     batch: int = 64
     queue: int = 192
     step_s: float = 0.0056
     step_s_per_request: float = 0.00012
     tokens_per_s: float = 54_600.0
-    piece_tokens: int = 1024
-    memory_tokens: int = 331_000
+    chunk_tokens: int = 1024
+    kv_cache_tokens: int = 331_000
     tokens_per_event: int = 4
 
 
 @dataclass(frozen=True)
 class BackendEntry:
-    """A catalogue's entry."""
+    """A catalogue entry."""
 
     id: str
     zone: str
@@ -73,49 +73,49 @@
 
 
 @dataclass(eq=False)
-class Running:
+class EngineRequest:
     """A request at an engine."""
 
     call: CallDescription
     on_event: Callable[[], None]
     on_end: Callable[[AttemptOutcome], None]
-    to_read: int = 0
+    unread_tokens: int = 0
     produced: int = 0
     admitted: bool = False
 
 
 @dataclass
-class Reads:
-    """Tokens that engines read, and those of shared parts that some engine had read a short time before."""
+class ReadTokens:
+    """Tokens that engines read, and shared ones among them that some engine had read a short time before."""
 
     read: int = 0
-    again: int = 0
+    reread_tokens: int = 0
     used_at: dict[str, float] = field(default_factory=dict)
 
-    def note(self, call: CallDescription, cached: bool, now: float) -> None:
+    def record(self, call: CallDescription, cached: bool, now: float) -> None:
         last = self.used_at.get(call.prefix_key)
-        if not cached and last is not None and now - last <= AGAIN_S:
-            self.again += call.shared_tokens
+        if not cached and last is not None and now - last <= REREAD_WINDOW_S:
+            self.reread_tokens += call.shared_tokens
         self.used_at[call.prefix_key] = now
 
 
 class Engine:
-    """One backend."""
+    """One simulated backend."""
 
-    def __init__(self, clock: Clock, entry: BackendEntry, model: EngineModel, reads: Reads):
+    def __init__(self, clock: Clock, entry: BackendEntry, model: EngineModel, reads: ReadTokens):
         self.clock, self.entry, self.model, self.reads = clock, entry, model, reads
-        self.waiting: list[Running] = []
-        self.running: list[Running] = []
+        self.waiting: list[EngineRequest] = []
+        self.running: list[EngineRequest] = []
         self.cache: OrderedDict[str, int] = OrderedDict()
         self.stepping = False
         self.up = True
         self.silent = False
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.failing_share = 0.0
-        self.arrivals: list[float] = []
+        self.arrived_at: list[float] = []
 
-    def arrive(self, request: Running, random: Random) -> None:
-        self.arrivals.append(self.clock.now)
+    def submit(self, request: EngineRequest, random: Random) -> None:
+        self.arrived_at.append(self.clock.now)
         if self.silent:
             return
         if not self.up:
@@ -127,7 +127,7 @@
         else:
             self.waiting.append(request)
             self.waiting.sort(key=lambda waiting: waiting.call.priority)
-            self._step_soon()
+            self._start_stepping()
 
     def crash(self) -> None:
         self.up = False
@@ -136,7 +136,7 @@
         self.running, self.waiting = [], []
         self.cache.clear()
 
-    def _step_soon(self) -> None:
+    def _start_stepping(self) -> None:
         if not self.stepping:
             self.stepping = True
             self._step()
@@ -146,18 +146,18 @@
         if not self.running or not self.up:
             self.stepping = False
             return
-        budget = self.model.piece_tokens
+        budget = self.model.chunk_tokens
         for request in self.running:
-            piece = min(budget, request.to_read)
-            request.to_read -= piece
-            budget -= piece
-        read = self.model.piece_tokens - budget
-        took = self.model.step_s + self.model.step_s_per_request * len(self.running)
-        took += read / self.model.tokens_per_s
-        self.clock.after(took * self.slow, self._stepped)
-
-    def _stepped(self) -> None:
-        for request in [request for request in self.running if request.to_read == 0]:
+            chunk_size = min(budget, request.unread_tokens)
+            request.unread_tokens -= chunk_size
+            budget -= chunk_size
+        read = self.model.chunk_tokens - budget
+        duration_s = self.model.step_s + self.model.step_s_per_request * len(self.running)
+        duration_s += read / self.model.tokens_per_s
+        self.clock.after(duration_s * self.slowdown, self._finish_step)
+
+    def _finish_step(self) -> None:
+        for request in [request for request in self.running if request.unread_tokens == 0]:
             request.produced += 1
             if request.produced % self.model.tokens_per_event == 0 and not self.silent:
                 request.on_event()
@@ -173,18 +173,18 @@
             call = request.call
             needed = call.prompt_tokens + call.output_tokens
             used = sum(other.call.prompt_tokens + other.call.output_tokens for other in self.running)
-            if used + needed > self.model.memory_tokens:
+            if used + needed > self.model.kv_cache_tokens:
                 return
             self.waiting.pop(0)
             self.running.append(request)
-            self._read(request, self.model.memory_tokens - used - needed)
+            self._read(request, self.model.kv_cache_tokens - used - needed)
 
-    def _read(self, request: Running, left: int) -> None:
+    def _read(self, request: EngineRequest, left: int) -> None:
         call = request.call
         cached = call.prefix_key in self.cache
-        self.reads.note(call, cached, self.clock.now)
-        request.to_read = max(1, call.prompt_tokens - (call.shared_tokens if cached else 0))
-        self.reads.read += request.to_read
+        self.reads.record(call, cached, self.clock.now)
+        request.unread_tokens = max(1, call.prompt_tokens - (call.shared_tokens if cached else 0))
+        self.reads.read_tokens += request.unread_tokens
         self.cache[call.prefix_key] = call.shared_tokens
         self.cache.move_to_end(call.prefix_key)
         while sum(self.cache.values()) > left and self.cache:
@@ -198,25 +198,30 @@
     zone: str
     per_s: float
     route: str
-    things: int
+    distinct_prefixes: int
     shared_tokens: int
     own_tokens: int
     output_tokens: int
     target_s: float
     priority: int
-    homes: frozenset[str] = frozenset()
+    home_regions: frozenset[str] = frozenset()
     hot_share: float = 0.0
 
     def call(self, random: Random) -> CallDescription:
-        thing = 0 if random.random() < self.hot_share else int(self.things * random.random() ** 1.4)
-        own = max(16, int(random.expovariate(1 / self.own_tokens)))
+        prefix_number = (
+            0 if random.random() < self.hot_share else int(self.distinct_prefixes * random.random() ** 1.4)
+        )
+        unshared_tokens = max(16, int(random.expovariate(1 / self.own_tokens)))
         output = max(4, int(random.expovariate(1 / self.output_tokens)))
-        parts = (PromptPart(f"{self.route}-{thing}", self.shared_tokens), PromptPart("own", own))
-        tokens = self.shared_tokens + own
+        parts = (
+            PromptPart(f"{self.route}-{prefix_number}", self.shared_tokens),
+            PromptPart("own", unshared_tokens),
+        )
+        tokens = self.shared_tokens + unshared_tokens
         return CallDescription(
             self.route,
             "model",
-            self.homes,
+            self.home_regions,
             parts,
             tokens,
             output,
@@ -228,7 +233,7 @@
 
 @dataclass
 class Result:
-    """What became of the requests of one route."""
+    """Results of the requests of one route."""
 
     sent: int = 0
     timely: int = 0
@@ -240,7 +245,7 @@
 
 
 class Fleet:
-    """Agents, engines and clients."""
+    """Simulated agents, engines and clients."""
 
     def __init__(
         self,
@@ -252,7 +257,7 @@
         tuning: Tuning | None = None,
         report_delay_s: float | None = None,
     ):
-        self.zones, self.random, self.clock, self.reads = zones, Random(seed), Clock(), Reads()
+        self.zones, self.random, self.clock, self.reads = zones, Random(seed), Clock(), ReadTokens()
         self.engines = {
             entry.id: Engine(self.clock, entry, model or EngineModel(), self.reads) for entry in entries
         }
@@ -261,41 +266,41 @@
         self.agents = agents
         self.results: dict[str, Result] = {}
         for number, (name, zone) in enumerate(agents.items()):
-            chooser = Selector(tuning or Tuning(), zone, zones[zone], zones, Random(seed * 100 + number))
-            chooser.update_services([self.profile], 0.0)
-            chooser.set_agents(agents, name, -100.0)
-            self.selectors[name] = chooser
+            selector = Selector(tuning or Tuning(), zone, zones[zone], zones, Random(seed * 100 + number))
+            selector.update_services([self.profile], 0.0)
+            selector.set_agents(agents, name, -100.0)
+            self.selectors[name] = selector
             if report_delay_s is not None:
-                self._pass_reports_on(chooser, report_delay_s)
-        self.publish(entries)
+                self._deliver_reports(selector, report_delay_s)
+        self.publish_catalogue(entries)
         self.clock.after(PROBE_INTERVAL_S, self._probe)
 
     def _probe(self) -> None:
-        """What a host does about backends at intervals: it reports silent ones and tries to reach others."""
-        for chooser in self.selectors.values():
-            chooser.report_silent_backends(self.clock.now)
-            for backend_id in chooser.unreachable_backends(self.clock.now):
+        """The periodic work of a host: report silent backends and try to reach unreachable ones."""
+        for selector in self.selectors.values():
+            selector.report_silent_backends(self.clock.now)
+            for backend_id in selector.unreachable_backends(self.clock.now):
                 engine = self.engines[backend_id]
                 if engine.up and not engine.silent:
-                    chooser.record_reachable(backend_id, self.clock.now)
+                    selector.record_reachable(backend_id, self.clock.now)
         self.clock.after(PROBE_INTERVAL_S, self._probe)
 
-    def _pass_reports_on(self, chooser: Selector, delay_s: float) -> None:
-        """What a publisher does about an agent's reports: it tells the other agents of the zone."""
+    def _deliver_reports(self, selector: Selector, delay_s: float) -> None:
+        """Deliver an agent's reports to the other agents of its zone, as a publisher does."""
 
         def deliver() -> None:
-            report = chooser.reports.take()
+            report = selector.reports.take()
             for other in self.selectors.values():
-                if other is not chooser and other.placement.zone == chooser.placement.zone:
+                if other is not selector and other.placement.zone == selector.placement.zone:
                     other.apply_report(report, self.clock.now)
 
-        chooser.reports.on_added = lambda: self.clock.after(delay_s, deliver)
+        selector.reports.on_added = lambda: self.clock.after(delay_s, deliver)
 
-    def publish(self, entries: list[BackendEntry]) -> None:
-        for chooser in self.selectors.values():
-            chooser.update_backends(entries, self.clock.now)
+    def publish_catalogue(self, entries: list[BackendEntry]) -> None:
+        for selector in self.selectors.values():
+            selector.update_backends(entries, self.clock.now)
 
-    def demand(self, demand: Demand, until: float, start: float = 0.0) -> None:
+    def add_demand(self, demand: Demand, until: float, start: float = 0.0) -> None:
         def arrive() -> None:
             if self.clock.now >= until:
                 return
@@ -306,43 +311,43 @@
 
     def _request(self, demand: Demand) -> None:
         names = [name for name, zone in self.agents.items() if self.zones[zone] == self.zones[demand.zone]]
-        chooser = self.selectors[self.random.choice(names)]
+        selector = self.selectors[self.random.choice(names)]
         call = demand.call(self.random)
         result = self.results.setdefault(demand.route, Result())
         result.sent += 1
-        chosen = chooser.choose(call, self.clock.now)
-        if isinstance(chosen, Refusal):
+        backend = selector.choose(call, self.clock.now)
+        if isinstance(backend, Refusal):
             result.refused += 1
             return
-        self._send(chooser, chosen.id, call, result)
+        self._send(selector, backend.id, call, result)
 
-    def _send(self, chooser: Selector, backend_id: str, call: CallDescription, result: Result) -> None:
+    def _send(self, selector: Selector, backend_id: str, call: CallDescription, result: Result) -> None:
         engine = self.engines[backend_id]
-        distance = self._distance(chooser.placement.zone, engine.entry.zone)
-        result.zone_crossings += chooser.placement.zone != engine.entry.zone
-        result.region_crossings += self.zones[chooser.placement.zone] != self.zones[engine.entry.zone]
-        begun = self.clock.now
-        attempt = chooser.start_attempt(backend_id, call, begun)
+        delay_s = self._network_delay_s(selector.placement.zone, engine.entry.zone)
+        result.zone_crossings += selector.placement.zone != engine.entry.zone
+        result.region_crossings += self.zones[selector.placement.zone] != self.zones[engine.entry.zone]
+        started_at = self.clock.now
+        attempt = selector.start_attempt(backend_id, call, started_at)
 
         def event() -> None:
             if attempt.first_event_at is None:
-                took = self.clock.now - begun + 0.002
-                result.times.append(took)
-                result.timely += took <= call.latency_target_s
-            chooser.record_first_event(attempt, self.clock.now)
+                duration_s = self.clock.now - started_at + 0.002
+                result.times.append(duration_s)
+                result.timely += duration_s <= call.latency_target_s
+            selector.record_first_event(attempt, self.clock.now)
 
         def end(outcome: AttemptOutcome) -> None:
             result.failed += outcome is not AttemptOutcome.COMPLETED and not attempt.ended
             if attempt.first_event_at is None and outcome is AttemptOutcome.COMPLETED:
                 event()
-            chooser.finish_attempt(attempt, outcome, self.clock.now)
+            selector.finish_attempt(attempt, outcome, self.clock.now)
 
-        request = Running(
+        request = EngineRequest(
             call,
-            lambda: self.clock.after(distance, event),
-            lambda outcome: self.clock.after(distance, lambda: end(outcome)),
+            lambda: self.clock.after(delay_s, event),
+            lambda outcome: self.clock.after(delay_s, lambda: end(outcome)),
         )
-        self.clock.after(distance, lambda: engine.arrive(request, self.random))
+        self.clock.after(delay_s, lambda: engine.submit(request, self.random))
         self.clock.after(5 * call.latency_target_s, lambda: self._give_up(attempt, end))
 
     @staticmethod
@@ -350,7 +355,7 @@
         if attempt.first_event_at is None:
             end(AttemptOutcome.TIMED_OUT)
 
-    def _distance(self, one: str, other: str) -> float:
+    def _network_delay_s(self, one: str, other: str) -> float:
         if one == other:
             return 0.0002
         return 0.0014 if self.zones[one] == self.zones[other] else 0.02
--- a/tests/system/test_selection_load.py
+++ b/tests/system/test_selection_load.py
@@ -1,4 +1,4 @@
-"""What backends tell of their load, which zones are in doubt, and how long connections may rest."""
+"""Loads reported by backends, suspect zones, and how long connections may be idle."""
 
 from collections import Counter
 
@@ -8,17 +8,17 @@
 from nettledeal.dataplane.selection.smoothed_queue import SmoothedQueue
 from nettledeal.dataplane.server_load import read_server_load
 
-from .test_selection_choice import SHORT, selector, served
+from .test_selection_choice import SHORT_CALL, make_selector, serve_request
 
 
-def answered(chooser, backend_id, now, took_s=0.05, load=None, call=SHORT):
-    attempt = chooser.start_attempt(backend_id, call, now)
-    chooser.record_first_event(attempt, now + took_s, load)
-    chooser.finish_attempt(attempt, AttemptOutcome.COMPLETED, now + took_s)
+def complete_attempt(selector, backend_id, now, latency_s=0.05, load=None, call=SHORT_CALL):
+    attempt = selector.start_attempt(backend_id, call, now)
+    selector.record_first_event(attempt, now + latency_s, load)
+    selector.finish_attempt(attempt, AttemptOutcome.COMPLETED, now + latency_s)
 
 
-def chosen_of(chooser, now, call=SHORT):
-    return Counter(chooser.choose(call, now).id for _ in range(1000))
+def count_choices(selector, now, call=SHORT_CALL):
+    return Counter(selector.choose(call, now).id for _ in range(1000))
 
 
 @pytest.mark.parametrize(
@@ -38,79 +38,79 @@
         ("²,0,6".encode("latin-1"), None),
     ],
 )
-def test_only_a_load_that_can_be_is_taken(value, load):
+def test_implausible_reported_loads_are_ignored(value, load):
     assert read_server_load(value) == load
 
 
-def test_a_backend_that_tells_of_a_queue_is_avoided():
-    chooser = selector()
-    before = chosen_of(chooser, 1.0)["n1"]
-    answered(chooser, "n1", 0.9, load=ReportedLoad(8, 20))
-    assert chosen_of(chooser, 1.0)["n1"] < before / 5
+def test_a_backend_that_reports_a_queue_is_avoided():
+    selector = make_selector()
+    before = count_choices(selector, 1.0)["n1"]
+    complete_attempt(selector, "n1", 0.9, load=ReportedLoad(8, 20))
+    assert count_choices(selector, 1.0)["n1"] < before / 5
 
 
-def test_own_attempts_are_not_counted_a_second_time():
-    chooser = selector()
-    attempt = chooser.start_attempt("n1", SHORT, 0.9)
-    chooser.record_first_event(attempt, 1.0, ReportedLoad(1, 0))
-    other = selector()
-    other.record_first_event(other.start_attempt("n1", SHORT, 0.9), 1.0)
-    assert chooser.records["n1"].remembered_queue(1.0) == other.records["n1"].remembered_queue(1.0)
+def test_own_attempts_are_not_counted_twice():
+    selector = make_selector()
+    attempt = selector.start_attempt("n1", SHORT_CALL, 0.9)
+    selector.record_first_event(attempt, 1.0, ReportedLoad(1, 0))
+    other = make_selector()
+    other.record_first_event(other.start_attempt("n1", SHORT_CALL, 0.9), 1.0)
+    assert selector.records["n1"].remembered_queue(1.0) == other.records["n1"].remembered_queue(1.0)
 
 
-def test_without_a_report_nothing_changes():
-    told, untold = selector(), selector()
-    for chooser, load in ((told, ReportedLoad(0, 0)), (untold, None)):
-        answered(chooser, "n1", 0.9, 0.3, load)
-    assert told.records["n1"].remembered_queue(1.0) == untold.records["n1"].remembered_queue(1.0)
+def test_a_reported_load_of_zero_changes_nothing():
+    with_load, without_load = make_selector(), make_selector()
+    for selector, load in ((with_load, ReportedLoad(0, 0)), (without_load, None)):
+        complete_attempt(selector, "n1", 0.9, 0.3, load)
+    assert with_load.records["n1"].remembered_queue(1.0) == without_load.records["n1"].remembered_queue(1.0)
 
 
-def test_a_backend_to_which_a_connection_rests_is_preferred_at_equal_queues():
-    chooser = selector()
-    chooser.placement.has_idle_connection = lambda backend_id, now: backend_id == "n2"
-    chosen = chosen_of(chooser, 1.0)
+def test_a_backend_with_an_idle_connection_is_preferred_at_equal_queues():
+    selector = make_selector()
+    selector.placement.has_idle_connection = lambda backend_id, now: backend_id == "n2"
+    chosen = count_choices(selector, 1.0)
     assert chosen["n2"] > 2 * chosen["n1"]
     assert set(chosen) == {"n1", "n2", "n3", "n4"}
 
 
-def test_connections_rest_for_less_where_a_backend_was_lost_of_late():
-    chooser, tuning = selector(), Tuning()
-    assert chooser.max_idle_s("n1", 1.0) == tuning.max_idle_s
-    chooser.finish_attempt(chooser.start_attempt("n2", SHORT, 0.9), AttemptOutcome.UNREACHABLE, 1.0)
-    assert chooser.max_idle_s("n1", 2.0) == tuning.max_idle_after_zone_failure_s  # of the same zone
-    assert chooser.max_idle_s("s1", 2.0) == tuning.max_idle_s
-    assert chooser.max_idle_s("n1", 1.0 + tuning.zone_failure_window_s) == tuning.max_idle_s
-    chooser.finish_attempt(chooser.start_attempt("s1", SHORT, 3.0), AttemptOutcome.TIMED_OUT, 5.1)
-    assert chooser.max_idle_s("s2", 6.0) == tuning.max_idle_after_zone_failure_s
-    assert chooser.max_idle_s("unknown", 4.0) == tuning.max_idle_after_zone_failure_s
+def test_idle_limits_are_shorter_in_a_zone_with_a_recent_failure():
+    selector, tuning = make_selector(), Tuning()
+    assert selector.max_idle_s("n1", 1.0) == tuning.max_idle_s
+    selector.finish_attempt(selector.start_attempt("n2", SHORT_CALL, 0.9), AttemptOutcome.UNREACHABLE, 1.0)
+    assert selector.max_idle_s("n1", 2.0) == tuning.max_idle_after_zone_failure_s  # in the same zone
+    assert selector.max_idle_s("s1", 2.0) == tuning.max_idle_s
+    assert selector.max_idle_s("n1", 1.0 + tuning.zone_failure_window_s) == tuning.max_idle_s
+    selector.finish_attempt(selector.start_attempt("s1", SHORT_CALL, 3.0), AttemptOutcome.TIMED_OUT, 5.1)
+    assert selector.max_idle_s("s2", 6.0) == tuning.max_idle_after_zone_failure_s
+    assert selector.max_idle_s("unknown", 4.0) == tuning.max_idle_after_zone_failure_s
 
 
-def test_a_backend_that_takes_no_connection_makes_its_zone_a_troubled_one():
-    chooser = selector()
-    chooser.record_unreachable("n1", 1.0)
-    assert chooser.max_idle_s("n2", 1.5) == Tuning().max_idle_after_zone_failure_s
+def test_an_unreachable_backend_shortens_idle_limits_in_its_zone():
+    selector = make_selector()
+    selector.record_unreachable("n1", 1.0)
+    assert selector.max_idle_s("n2", 1.5) == Tuning().max_idle_after_zone_failure_s
 
 
-def test_backends_of_a_zone_in_doubt_get_nothing_where_enough_others_are_left():
-    chooser = selector()
-    chooser.set_suspect_zones({"north-2"})
-    assert set(chosen_of(chooser, 1.0)) == {"n1", "n2"}
-    assert chooser.max_idle_s("n3", 1.0) == Tuning().max_idle_after_zone_failure_s
-    chooser.set_suspect_zones(
+def test_suspect_zones_get_no_requests_if_enough_others_remain():
+    selector = make_selector()
+    selector.set_suspect_zones({"north-2"})
+    assert set(count_choices(selector, 1.0)) == {"n1", "n2"}
+    assert selector.max_idle_s("n3", 1.0) == Tuning().max_idle_after_zone_failure_s
+    selector.set_suspect_zones(
         {"north-2", "south-1"}
-    )  # four of six: the two others can't bear the load of all
-    assert set(chosen_of(chooser, 1.0)) == {"n1", "n2", "n3", "n4"}
-    chooser.set_suspect_zones(set())
-    assert set(chosen_of(chooser, 1.0)) == {"n1", "n2", "n3", "n4"}
+    )  # four of six: the two others can't carry the load of all
+    assert set(count_choices(selector, 1.0)) == {"n1", "n2", "n3", "n4"}
+    selector.set_suspect_zones(set())
+    assert set(count_choices(selector, 1.0)) == {"n1", "n2", "n3", "n4"}
 
 
-def test_the_own_zone_is_never_in_doubt():
-    chooser = selector()
-    chooser.set_suspect_zones({"north-1"})
-    assert set(chosen_of(chooser, 1.0)) == {"n1", "n2", "n3", "n4"}
+def test_the_own_zone_is_never_suspect():
+    selector = make_selector()
+    selector.set_suspect_zones({"north-1"})
+    assert set(count_choices(selector, 1.0)) == {"n1", "n2", "n3", "n4"}
 
 
-def test_a_smoothed_queue_fades_and_weighs_readings_by_their_distance():
+def test_a_smoothed_queue_decays_and_weighs_samples_by_their_distance():
     queue = SmoothedQueue(0.7, 1.0)
     queue.add(10.0, 0.0)
     assert queue.last_value == pytest.approx(3.0)
@@ -121,7 +121,7 @@
     assert queue.last_value > 2.0
 
 
-def test_a_served_request_leaves_no_attempt_behind():
-    chooser = selector()
-    served(chooser, SHORT, 1.0)
-    assert all(not record.attempts for record in chooser.records.values())
+def test_a_completed_request_leaves_no_attempt_behind():
+    selector = make_selector()
+    serve_request(selector, SHORT_CALL, 1.0)
+    assert all(not record.attempts for record in selector.records.values())
