--- a/tests/system/test_selection_choice.py
+++ b/tests/system/test_selection_choice.py
@@ -265,7 +265,7 @@
 
 
 def test_a_prefix_leaves_a_backend_with_a_much_longer_queue_than_another():
-    """A prefix was once compared with the mean queue, which hid an idle backend, so all prefixes stayed put."""
+    """Comparing with the mean of two queues, one of them long, hid that the other backend was idle."""
     usual, selector = make_selector(), make_selector()
     for agent in (usual, selector):
         serve_request(agent, HOME_CALL, 0.5)
--- a/tests/system/test_selection_fleet.py
+++ b/tests/system/test_selection_fleet.py
@@ -68,7 +68,7 @@
     assert timely_share(fleet, "ask") > 0.75
 
 
-@pytest.mark.parametrize("trouble", ["silent", "crashed", "slow", "grey"])
+@pytest.mark.parametrize("fault", ["silent", "crashed", "slow", "grey"])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_one_bad_backend_costs_little(seed, fault):
     fleet = make_fleet(seed)
