--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -11,11 +11,11 @@
 
 from tests.system.dataplane_rig import (
     SIGNATURE,
-    StandIn,
-    answer_bytes,
+    FakeBackend,
     chunk_of,
     entries,
     event,
+    response_bytes,
     route,
     running,
     stream_head,
@@ -24,9 +24,11 @@
 GRACE_S = 1.0
 
 
-def full(_, sock, seen) -> bool:
+def full(_, sock, request) -> bool:
     """The backend rejects every request."""
-    sock.sendall(answer_bytes(seen.request_id, b"", "503 Service Unavailable", False, "Not-Executed: 1\r\n"))
+    sock.sendall(
+        response_bytes(request.request_id, b"", "503 Service Unavailable", False, "Not-Executed: 1\r\n")
+    )
     return True
 
 
@@ -38,9 +40,9 @@
 def streams(count: int, whole: bool):
     """The backend sends events up to `count`, from behind the last one that the request names."""
 
-    def script(_, sock, seen) -> bool:
-        first = int(seen.headers.get("last-event-id", 0)) + 1
-        sock.sendall(stream_head(seen.request_id))
+    def script(_, sock, request) -> bool:
+        first = int(request.headers.get("last-event-id", 0)) + 1
+        sock.sendall(stream_head(request.request_id))
         for number in range(first, count + 1):
             sock.sendall(chunk_of(event(number)))
         if whole:
@@ -50,7 +52,7 @@
     return script
 
 
-def start(context, *backends: StandIn, **options) -> None:
+def start(context, *backends: FakeBackend, **options) -> None:
     """Run an agent until the scenario ends."""
     stack = ExitStack()
     context.add_cleanup(stack.close)
@@ -60,12 +62,12 @@
 
 @given('an agent with backends "{first}" and "{second}"')
 def step_agent(context, first, second):
-    start(context, *(StandIn(name, zone=f"{name.partition('-')[0]}-1") for name in (first, second)))
+    start(context, *(FakeBackend(name, zone=f"{name.partition('-')[0]}-1") for name in (first, second)))
 
 
 @given("an agent without a configuration")
 def step_unconfigured(context):
-    start(context, StandIn("north-a"), control={})
+    start(context, FakeBackend("north-a"), control={})
 
 
 @given('backend "{name}" is full')
@@ -92,9 +94,9 @@
 def step_slow(context, name):
     context.proceed = Event()
 
-    def script(_, sock, seen) -> bool:
+    def script(_, sock, request) -> bool:
         context.proceed.wait(GRACE_S)
-        sock.sendall(answer_bytes(seen.request_id, name.encode()))
+        sock.sendall(response_bytes(request.request_id, name.encode()))
         return True
 
     context.backends[name].script = script
@@ -124,7 +126,7 @@
 def step_stop(context, path):
     context.client = context.rig.client()
     context.client.send(path)
-    assert next(iter(context.backends.values())).came.wait(GRACE_S)
+    assert next(iter(context.backends.values())).request_received.wait(GRACE_S)
     context.stopping = gevent.spawn(context.rig.plane.stop)
     gevent.sleep(0)
 
@@ -157,7 +159,7 @@
 
 @then('backend "{name}" got {count:d} requests')
 def step_got(context, name, count):
-    assert len(context.backends[name].seen) == count
+    assert len(context.backends[name].requests) == count
 
 
 @then("the client gets 200 with events {first:d} to {last:d}, each once")
--- a/tests/system/dataplane_rig.py
+++ b/tests/system/dataplane_rig.py
@@ -1,4 +1,4 @@
-"""Stand-in backends and clients on loopback for tests of the data plane: every step is told by the test."""
+"""Fake backends and clients on loopback for tests of the data plane, scripted by the test."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 @dataclass
-class Seen:
-    """A request as a stand-in backend got it."""
+class ReceivedRequest:
+    """A request as received by a fake backend."""
 
     line: str
     headers: dict[str, str]
@@ -36,7 +36,7 @@
 
 
 def read_message(stream) -> tuple[str, dict[str, str], bytes] | None:
-    """One HTTP message: first line, headers by name in lower case, body. None at the end."""
+    """Read an HTTP message: first line, headers by lower-case name, body. None at end of file."""
     line = stream.readline()
     if not line:
         return None
@@ -50,33 +50,38 @@
 
 
 def read_chunks(stream) -> bytes:
-    """A chunked body; raises EOFError where it breaks off."""
+    """Read a chunked body; raises EOFError if it is incomplete."""
     body = b""
     while True:
         size = stream.readline()
         if not size.endswith(b"\r\n"):
-            raise EOFError("the body broke off")
+            raise EOFError("incomplete body")
         data = stream.read(int(size, 16) + 2)
         if not data.endswith(b"\r\n"):
-            raise EOFError("the body broke off")
+            raise EOFError("incomplete body")
         if data == b"\r\n":
             return body
         body += data[:-2]
 
 
-def answer_bytes(
-    request_id: str, body: bytes = b"hello", status: str = "200 OK", signed: bool = True, more: str = ""
+def response_bytes(
+    request_id: str,
+    body: bytes = b"hello",
+    status: str = "200 OK",
+    signed: bool = True,
+    extra_headers: str = "",
 ) -> bytes:
-    """A whole answer with a length."""
-    stamp = f"Server-Signature: {SIGNATURE}\r\n" if signed else ""
+    """A complete response with a Content-Length."""
+    signature = f"Server-Signature: {SIGNATURE}\r\n" if signed else ""
     head = (
-        f"HTTP/1.1 {status}\r\nRequest-Id: {request_id}\r\n{stamp}{more}Content-Length: {len(body)}\r\n\r\n"
+        f"HTTP/1.1 {status}\r\nRequest-Id: {request_id}\r\n{signature}{extra_headers}"
+        f"Content-Length: {len(body)}\r\n\r\n"
     )
     return head.encode() + body
 
 
 def stream_head(request_id: str) -> bytes:
-    """The head of a stream of events."""
+    """The head of an event stream response."""
     return (
         f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\nServer-Signature: {SIGNATURE}\r\n"
         "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -91,28 +96,30 @@
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-Script = Callable[["StandIn", socket.socket, Seen], bool]
+Script = Callable[["FakeBackend", socket.socket, ReceivedRequest], bool]
 
 
-def answers_whole(stand_in: StandIn, sock: socket.socket, seen: Seen) -> bool:
-    """Answers with the backend's name; the connection goes on."""
-    sock.sendall(answer_bytes(seen.request_id, stand_in.id.encode(), more=stand_in.more))
+def respond(backend: FakeBackend, sock: socket.socket, requests: ReceivedRequest) -> bool:
+    """Respond with the backend's id and keep the connection open."""
+    sock.sendall(
+        response_bytes(requests.request_id, backend.id.encode(), extra_headers=backend.extra_headers)
+    )
     return True
 
 
 @dataclass
-class StandIn:
-    """A backend that does with each request what its script says."""
+class FakeBackend:
+    """A backend that handles each request with its script."""
 
     id: str
     service: str = "web"
     zone: str = "north-1"
-    script: Script = answers_whole
-    more: str = "Keep-Alive: timeout=5\r\n"
-    seen: list[Seen] = field(default_factory=list)
+    script: Script = respond
+    extra_headers: str = "Keep-Alive: timeout=5\r\n"
+    requests: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
-    came: Event = field(default_factory=Event)
-    peer_left: Event = field(default_factory=Event)
+    request_received: Event = field(default_factory=Event)
+    connection_closed: Event = field(default_factory=Event)
 
     def start(self) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -138,16 +145,16 @@
     def _serve(self, sock: socket.socket, number: int) -> None:
         with sock, suppress(OSError), sock.makefile("rb") as stream:
             while (message := read_message(stream)) is not None:
-                seen = Seen(*message, number)
-                self.seen.append(seen)
-                self.came.set()
-                if not self.script(self, sock, seen):
+                requests = ReceivedRequest(*message, number)
+                self.requests.append(requests)
+                self.request_received.set()
+                if not self.script(self, sock, requests):
                     return
-        self.peer_left.set()
+        self.connection_closed.set()
 
 
 class Client:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, address: tuple[str, int]):
         self.sock = socket.create_connection(address)
@@ -163,18 +170,18 @@
         self.sock.sendall(head.encode() + body)
 
     def receive(self) -> tuple[int, dict[str, str], bytes]:
-        """Status, headers and body; raises EOFError where there is no whole answer."""
+        """Status, headers and body; raises EOFError if the response is incomplete."""
         with gevent.Timeout(5):
             message = read_message(self.stream)
         if message is None:
-            raise EOFError("no answer")
+            raise EOFError("no response")
         return int(message[0].split()[1]), message[1], message[2]
 
     def ask(self, path: str = "/web/x", body: bytes = b"", **headers) -> tuple[int, dict[str, str], bytes]:
         self.send(path, body, **headers)
         return self.receive()
 
-    def at_end(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the agent has closed the connection."""
         with gevent.Timeout(5):
             return self.stream.read(1) == b""
@@ -185,7 +192,7 @@
 
 
 def route(name: str, **changed) -> dict:
-    """A route's entry for `/name/`."""
+    """The configuration of a route for `/name/`."""
     return {
         "name": f"r-{name}",
         "hostname": HOST,
@@ -220,7 +227,7 @@
 
 
 def entries(*routes: dict, limits: dict = LIMITS, evacuated: tuple[str, ...] = ()) -> dict[str, bytes]:
-    """The control state by key."""
+    """The encoded control state by key."""
     state = {f"route/{item['hostname']} {item['path_prefix']}": item for item in routes or ROUTES}
     state["service/web"] = SERVICE
     state["limits"] = limits
@@ -233,14 +240,14 @@
     return {backend.id: encode_backend(backend) for backend in backends}
 
 
-# A loopback address of this process's own: a port found free there is not taken by another test run.
-OWN_HOST = f"127.{1 + os.getpid() // 65536 % 250}.{os.getpid() // 256 % 256}.{os.getpid() % 256}"
+# A loopback address specific to this process, so that other test runs don't take its free ports.
+LOOPBACK_HOST = f"127.{1 + os.getpid() // 65536 % 250}.{os.getpid() // 256 % 256}.{os.getpid() % 256}"
 
 
 def free_address() -> str:
     with socket.socket() as probe:
-        probe.bind((OWN_HOST, 0))
-        return f"{OWN_HOST}:{probe.getsockname()[1]}"
+        probe.bind((LOOPBACK_HOST, 0))
+        return f"{LOOPBACK_HOST}:{probe.getsockname()[1]}"
 
 
 def make_settings(**bounds) -> Settings:
@@ -263,10 +270,10 @@
 
 @dataclass
 class Rig:
-    """A data plane with its backends."""
+    """A running data plane with its backends and clients."""
 
     plane: DataPlane
-    backends: list[StandIn]
+    backends: list[FakeBackend]
     clients: list[Client] = field(default_factory=list)
 
     @property
@@ -284,18 +291,18 @@
         self.clients.append(client)
         return client
 
-    def list_backends(self) -> None:
+    def apply_catalogue(self) -> None:
         self.plane.apply_catalogue((1, 1), catalogue(*(backend.listed for backend in self.backends)))
 
-    def first_choice(self, *order: StandIn) -> None:
-        """The selection takes these in this order."""
+    def set_preference(self, *order: FakeBackend) -> None:
+        """Make the selector prefer backends in this order."""
         selector = self.plane.selector
         by_id = {backend.id: rank for rank, backend in enumerate(order)}
-        selector.placement.random = _FirstOf(by_id)
+        selector.placement.random = PreferredOrder(by_id)
 
 
-class _FirstOf(Random):
-    """Draws the first by a given order where backends are drawn."""
+class PreferredOrder(Random):
+    """Replaces the weighted random choice of a backend by a fixed order of preference."""
 
     def __init__(self, ranks: dict[str, int]):
         super().__init__(1)
@@ -306,17 +313,17 @@
 
 
 @contextmanager
-def running(*backends: StandIn, control: dict[str, bytes] | None = None, **bounds) -> Iterator[Rig]:
-    """A started data plane that holds `control` and a catalogue of `backends`."""
+def running(*backends: FakeBackend, control: dict[str, bytes] | None = None, **bounds) -> Iterator[Rig]:
+    """Run a data plane with the control state `control` and a catalogue of `backends`."""
     plane = DataPlane(make_settings(**bounds), Random(1))
     rig = Rig(plane, list(backends))
     for backend in backends:
         backend.start()
     plane.start()
     plane.apply_control(1, entries() if control is None else control)
-    rig.list_backends()
+    rig.apply_catalogue()
     plane.set_data_plane_members(1, ["edge-1"])
-    rig.first_choice(*backends)
+    rig.set_preference(*backends)
     try:
         yield rig
     finally:
--- a/tests/system/test_dataplane_client_leaves.py
+++ b/tests/system/test_dataplane_client_leaves.py
@@ -1,6 +1,6 @@
-"""A client that leaves is noticed within a tenth of a second, whether it pipelined or not.
+"""A client disconnect is noticed within 0.1 s, whether or not the client pipelined requests.
 
-That holds whatever its request waits for; nothing of what it pipelined reaches a backend.
+This holds in every state of the first request; pipelined requests never reach a backend.
 """
 
 from __future__ import annotations
@@ -19,50 +19,50 @@
 from nettledeal.net.transport.hang_ups import HangUps
 from tests.system.dataplane_rig import (
     Client,
+    FakeBackend,
+    ReceivedRequest,
     Rig,
-    Seen,
-    StandIn,
-    answer_bytes,
-    answers_whole,
     chunk_of,
     entries,
     event,
+    respond,
+    response_bytes,
     running,
     stream_head,
 )
 
-NOTICED_S = 0.1
-REACHED_S = 3.0
+MAX_NOTICE_S = 0.1
+WAIT_S = 3.0
 RESET = struct.pack("ii", 1, 0)
 LONG_BODY = bytes(280_000)
 SMALL_BUFFER = 4096
 
 
-class Waiting(StandIn):
-    """A backend that gives the first part of an answer, then waits for its peer to leave."""
+class WaitingBackend(FakeBackend):
+    """A backend that sends the start of a response, then waits for its peer to disconnect."""
 
-    def __init__(self, first_part: Callable[[Seen], bytes]):
+    def __init__(self, response_start: Callable[[ReceivedRequest], bytes]):
         super().__init__("i-1", script=self._wait)
-        self.first_part = first_part
-        self.accepts_requests = Event()
-        self.left = Event()
-        self.left_at = float("inf")
-
-    def _wait(self, _: StandIn, sock: socket.socket, seen: Seen) -> bool:
-        sock.sendall(self.first_part(seen))
-        self.accepts_requests.set()
+        self.response_start = response_start
+        self.state_reached = Event()
+        self.client_disconnected = Event()
+        self.disconnected_at = float("inf")
+
+    def _wait(self, _: FakeBackend, sock: socket.socket, request: ReceivedRequest) -> bool:
+        sock.sendall(self.response_start(request))
+        self.state_reached.set()
         with suppress(OSError):
             sock.recv(1)
-        self._note_left()
+        self._record_disconnect()
         return False
 
-    def _note_left(self) -> None:
-        self.left_at = time.monotonic()
-        self.left.set()
+    def _record_disconnect(self) -> None:
+        self.disconnected_at = time.monotonic()
+        self.client_disconnected.set()
 
 
-class Unread(Waiting):
-    """A backend that reads nothing of a request that is longer than what its socket holds."""
+class UnreadingBackend(WaitingBackend):
+    """A backend that doesn't read a request larger than its socket buffer."""
 
     def start(self) -> None:
         super().start()
@@ -71,52 +71,58 @@
     def _serve(self, sock: socket.socket, number: int) -> None:
         with sock:
             if not wait_readable(sock):
-                return  # a connection that was kept for later
-            self.accepts_requests.set()
-            # Whatever the kernel holds is not read until the peer has left.
+                return  # an idle connection that was closed
+            self.state_reached.set()
+            # Nothing is read from the kernel buffer until the peer has disconnected.
             watched, ended = HangUps(), Event()
             watched.watch(sock.fileno(), ended.set)
-            if ended.wait(REACHED_S):
-                self._note_left()
+            if ended.wait(WAIT_S):
+                self._record_disconnect()
             watched.unwatch(sock.fileno())
 
 
 def wait_readable(sock: socket.socket) -> bool:
-    """Wait for the first byte, which stays unread; whether one came."""
+    """Wait for the first byte without consuming it; returns whether one arrived."""
     with suppress(OSError):
         return bool(sock.recv(1, socket.MSG_PEEK))
     return False
 
 
 @dataclass(frozen=True)
-class State:
-    """What the first request waits for when its client leaves."""
+class WaitState:
+    """What the first request waits for when its client disconnects."""
 
-    backend: Callable[[], Waiting]
+    backend: Callable[[], WaitingBackend]
     path: str = "/web/x"
     body: bytes = b"x"
 
 
-STATES = {
-    "the head of its answer": State(lambda: Waiting(lambda seen: b"")),
-    "an answer whose head has begun": State(lambda: Waiting(lambda seen: b"HTTP/1.1 200 OK\r\n")),
-    "the rest of an answer": State(
-        lambda: Waiting(lambda seen: answer_bytes(seen.request_id, bytes(99_000))[:60_000])
+WAIT_STATES = {
+    "the response head": WaitState(lambda: WaitingBackend(lambda request: b"")),
+    "the rest of the response head": WaitState(
+        lambda: WaitingBackend(lambda request: b"HTTP/1.1 200 OK\r\n")
     ),
-    "the first event": State(lambda: Waiting(lambda seen: stream_head(seen.request_id)), "/stream/x"),
-    "the next event": State(
-        lambda: Waiting(lambda seen: stream_head(seen.request_id) + chunk_of(event(0))), "/stream/x"
+    "the rest of the response body": WaitState(
+        lambda: WaitingBackend(lambda request: response_bytes(request.request_id, bytes(99_000))[:60_000])
     ),
-    "the next event of a resumable stream": State(
-        lambda: Waiting(lambda seen: stream_head(seen.request_id) + chunk_of(event(0))), "/resume/x"
+    "the first event": WaitState(
+        lambda: WaitingBackend(lambda request: stream_head(request.request_id)), "/stream/x"
     ),
-    "its body to be taken": State(lambda: Unread(lambda seen: b""), body=LONG_BODY),
+    "the next event": WaitState(
+        lambda: WaitingBackend(lambda request: stream_head(request.request_id) + chunk_of(event(0))),
+        "/stream/x",
+    ),
+    "the next event of a resumable stream": WaitState(
+        lambda: WaitingBackend(lambda request: stream_head(request.request_id) + chunk_of(event(0))),
+        "/resume/x",
+    ),
+    "its body to be sent": WaitState(lambda: UnreadingBackend(lambda request: b""), body=LONG_BODY),
 }
 PIPELINED = {"nothing": 0, "one request": 1, "more than one buffer": 40}
 
 
-def ends(client: Client, how: str) -> None:
-    """The client leaves: in order, or with a reset."""
+def disconnect(client: Client, how: str) -> None:
+    """Disconnect the client: normally or with a reset."""
     if how == "reset":
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     client.close()
@@ -127,70 +133,70 @@
         client.send(body=bytes(200), Request_Id=f"behind-{number}")
 
 
-def begun(rig: Rig, backend: Waiting, state: State) -> Client:
-    """A client whose request has got into the state."""
+def start_request(rig: Rig, backend: WaitingBackend, state: WaitState) -> Client:
+    """A client whose request has reached the state."""
     client = rig.client()
     client.send(state.path, state.body, Request_Id="first")
-    assert backend.accepts_requests.wait(REACHED_S)
+    assert backend.state_reached.wait(WAIT_S)
     return client
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("count", PIPELINED.values(), ids=PIPELINED)
-@pytest.mark.parametrize("state", STATES.values(), ids=STATES)
-def test_a_client_that_leaves_is_noticed(state, count, how):
+@pytest.mark.parametrize("state", WAIT_STATES.values(), ids=WAIT_STATES)
+def test_a_client_disconnect_is_noticed(state, count, how):
     backend = state.backend()
     with running(backend) as rig:
-        client = begun(rig, backend, state)
+        client = start_request(rig, backend, state)
         pipeline(client, count)
-        await_bytes_noticed(rig, count)
-        left_at = time.monotonic()
-        ends(client, how)
+        wait_until_pipelined_seen(rig, count)
+        disconnected_at = time.monotonic()
+        disconnect(client, how)
         rig.clients.clear()
-        assert backend.left.wait(REACHED_S)
-        assert backend.left_at - left_at < NOTICED_S
-        assert [seen.request_id for seen in backend.seen if seen.request_id != "first"] == []
+        assert backend.client_disconnected.wait(WAIT_S)
+        assert backend.disconnected_at - disconnected_at < MAX_NOTICE_S
+        assert [request.request_id for request in backend.requests if request.request_id != "first"] == []
 
 
-def await_bytes_noticed(rig: Rig, count: int) -> None:
-    """Until the agent has looked at what was pipelined, so that the end comes behind it."""
+def wait_until_pipelined_seen(rig: Rig, count: int) -> None:
+    """Wait until the agent has noticed the pipelined requests, so that the disconnect follows them."""
     (connection,) = rig.plane.ingress.connections
-    limit = time.monotonic() + REACHED_S
+    limit = time.monotonic() + WAIT_S
     while count and not connection._pipelined_unread and time.monotonic() < limit:
         gevent.idle()
     assert not count or connection._pipelined_unread
 
 
-def test_what_was_pipelined_reaches_nobody_where_the_client_left_before_the_first_answer():
-    """The end comes together with the requests; both wait until the first answer has gone out."""
+def test_pipelined_requests_are_dropped_if_the_client_disconnects_first():
+    """Requests and disconnect arrive together; both wait until the first response has been sent."""
     may_answer = Event()
 
-    def answers_later(stand_in: StandIn, sock: socket.socket, seen: Seen) -> bool:
-        if seen.request_id == "first":
-            may_answer.wait(REACHED_S)
-        return answers_whole(stand_in, sock, seen)
+    def answers_later(backend: FakeBackend, sock: socket.socket, request: ReceivedRequest) -> bool:
+        if request.request_id == "first":
+            may_answer.wait(WAIT_S)
+        return respond(backend, sock, request)
 
-    backend = StandIn("i-1", script=answers_later)
+    backend = FakeBackend("i-1", script=answers_later)
     with running(backend) as rig:
         client = rig.client()
-        # One write: the second request may be read with the first, and the end be behind it in the kernel.
+        # The second request may be read together with the first, with the disconnect still in the kernel.
         client.send(Request_Id="first")
-        assert backend.came.wait(REACHED_S)
+        assert backend.request_received.wait(WAIT_S)
         pipeline(client, 2)
         client.close()
         rig.clients.clear()
         may_answer.set()
-        limit = time.monotonic() + REACHED_S
+        limit = time.monotonic() + WAIT_S
         while rig.plane.ingress.connections and time.monotonic() < limit:
             gevent.idle()
-        assert [seen.request_id for seen in backend.seen] == ["first"]
+        assert [request.request_id for request in backend.requests] == ["first"]
 
 
-def test_a_client_that_leaves_while_the_process_gets_ready_is_not_served():
-    with running(StandIn("i-1"), control={}) as rig:
+def test_a_client_that_disconnects_during_startup_is_not_served():
+    with running(FakeBackend("i-1"), control={}) as rig:
         client = rig.client()
         client.send(Request_Id="first")
-        limit = time.monotonic() + REACHED_S
+        limit = time.monotonic() + WAIT_S
         while not rig.plane.ingress.busy_connections and time.monotonic() < limit:
             gevent.idle()
         client.close()
@@ -198,23 +204,23 @@
         rig.plane.apply_control(2, entries())
         while rig.plane.ingress.connections and time.monotonic() < limit:
             gevent.idle()
-        assert rig.backends[0].seen == []
+        assert rig.backends[0].requests == []
 
 
-@pytest.mark.parametrize("planted", ["watch", "hung_up"])
-def test_an_agent_that_looks_for_ends_only_in_front_of_what_is_unread_is_caught(monkeypatch, planted):
-    if planted == "watch":
+@pytest.mark.parametrize("fault", ["watch", "hung_up"])
+def test_a_missing_disconnect_check_behind_unread_bytes_is_detected(monkeypatch, fault):
+    if fault == "watch":
         monkeypatch.setattr(HangUps, "watch", lambda *_: None)
         with pytest.raises(AssertionError):
-            test_a_client_that_leaves_is_noticed(STATES["the head of its answer"], 1, "end")
+            test_a_client_disconnect_is_noticed(WAIT_STATES["the response head"], 1, "end")
     else:
         monkeypatch.setattr("nettledeal.dataplane.ingress.hung_up", lambda sock: False)
         with pytest.raises(AssertionError):
-            test_a_client_that_leaves_while_the_process_gets_ready_is_not_served()
+            test_a_client_that_disconnects_during_startup_is_not_served()
 
 
-def test_connections_are_watched_only_while_something_waits_behind_their_request():
-    backend = StandIn("i-1")
+def test_connections_are_watched_only_while_pipelined_requests_wait():
+    backend = FakeBackend("i-1")
     with running(backend) as rig:
         client = rig.client()
         for number in range(3):
--- a/tests/system/test_dataplane_connection_states.py
+++ b/tests/system/test_dataplane_connection_states.py
@@ -1,9 +1,9 @@
-"""Connections to backends and to clients under every kind of answer, one request after the other.
+"""Randomized test of connections to backends and clients with all kinds of responses.
 
-Each request draws what the backends do with it and what its client does; connections are kept and used
-again wherever the agent thinks that they may be. Held: each answer belongs to its request and is whole, what
-may run once reaches a backend once at the most, a promise that a request has not run is true, and a long body
-that was answered early goes on where it was.
+For each request, the behaviour of the backends and of the client is drawn at random; the agent reuses
+connections when it considers them reusable. Checked: each response is complete and belongs to its request, a
+non-repeatable request is executed at most once, a not-executed guarantee is true, and a long request body is
+sent completely even if the response arrives early.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 from nettledeal.dataplane.forwarding import Exchange
 from tests.system.dataplane_rig import (
     Client,
-    Seen,
-    StandIn,
-    answer_bytes,
+    FakeBackend,
+    ReceivedRequest,
     chunk_of,
     event,
     read_message,
+    response_bytes,
     running,
     stream_head,
 )
 
-GIVEN_UP_MS = 150
+DEADLINE_MS = 150
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 LONG_BODY = 60_000
 EVENTS = 3
 
 
-class Does(StrEnum):
-    """What a backend does with a request."""
+class Behaviour(StrEnum):
+    """How a backend handles a request."""
 
     WHOLE = auto()
     CLOSING = auto()
@@ -63,8 +63,8 @@
     SILENCE = auto()
 
 
-class Leaves(StrEnum):
-    """What a client does besides waiting for its answer."""
+class ClientAction(StrEnum):
+    """What a client does besides waiting for its response."""
 
     STAYS = auto()
     PIPELINES = auto()
@@ -72,22 +72,22 @@
 
 
 @dataclass(frozen=True)
-class Planned:
+class PlannedRequest:
     """One request."""
 
     path: str
-    first: Does
-    second: Does
-    leaves: Leaves = Leaves.STAYS
+    first: Behaviour
+    second: Behaviour
+    client_action: ClientAction = ClientAction.STAYS
     long: bool = False
 
 
 PLANS = st.builds(
-    Planned,
+    PlannedRequest,
     path=st.sampled_from(["/web/x", "/safe/x", "/stream/x", "/once/x"]),
-    first=st.sampled_from(Does),
-    second=st.sampled_from(Does),
-    leaves=st.sampled_from([Leaves.STAYS] * 6 + [Leaves.PIPELINES, Leaves.GOES]),
+    first=st.sampled_from(Behaviour),
+    second=st.sampled_from(Behaviour),
+    client_action=st.sampled_from([ClientAction.STAYS] * 6 + [ClientAction.PIPELINES, ClientAction.GOES]),
     long=st.booleans(),
 )
 
@@ -102,38 +102,38 @@
 
 
 @dataclass
-class World:
-    """What the backends are to do with each request, and what they saw of it."""
+class Scenario:
+    """The plan for each request, and how often the backends received it."""
 
-    plans: dict[str, Planned] = field(default_factory=dict)
-    arrivals: dict[str, list[Does]] = field(default_factory=dict)
+    plans: dict[str, PlannedRequest] = field(default_factory=dict)
+    behaviours_by_request: dict[str, list[Behaviour]] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
 
-    def next(self, seen: Seen) -> Does:
-        came = self.arrivals.setdefault(seen.request_id, [])
-        plan = self.plans.get(seen.request_id)
+    def next(self, request: ReceivedRequest) -> Behaviour:
+        behaviours = self.behaviours_by_request.setdefault(request.request_id, [])
+        plan = self.plans.get(request.request_id)
         if plan is None:
-            self.faults.append(f"a backend got {seen.request_id!r}, which no client sent")
-            return Does.END
-        came.append((plan.first, plan.second)[min(len(came), 1)])
-        return came[-1]
+            self.faults.append(f"a backend got {request.request_id!r}, which no client sent")
+            return Behaviour.END
+        behaviours.append((plan.first, plan.second)[min(len(behaviours), 1)])
+        return behaviours[-1]
 
 
-class ScriptedBackend(StandIn):
-    """Does with each request what its plan says."""
+class ScriptedBackend(FakeBackend):
+    """Handles each request according to its plan."""
 
-    def __init__(self, id: str, world: World):
+    def __init__(self, id: str, scenario: Scenario):
         super().__init__(id)
-        self.world = world
+        self.scenario = scenario
 
     def _serve(self, sock, number):
         with sock, suppress(OSError), sock.makefile("rb") as stream:
             while (message := self._read(stream, sock, number)) is not None:
-                if not self._do(sock, message):
+                if not self._carry_out(sock, message):
                     return
 
-    def _read(self, stream, sock, number) -> Seen | None:
-        """A request; one that is to be answered early is read on after its answer."""
+    def _read(self, stream, sock, number) -> ReceivedRequest | None:
+        """Read a request; with EARLY, the response is sent before the body is read."""
         line = stream.readline()
         if not line:
             return None
@@ -141,206 +141,215 @@
         while (header := stream.readline()) not in (b"\r\n", b""):
             name, _, value = header.decode("latin-1").partition(":")
             headers[name.strip().lower()] = value.strip()
-        seen = Seen(line.decode("latin-1").strip(), headers, b"", number)
-        does = self.world.next(seen)
+        request = ReceivedRequest(line.decode("latin-1").strip(), headers, b"", number)
+        behaviour = self.scenario.next(request)
         length = int(headers.get("content-length", 0))
-        if does is Does.EARLY:
-            self._answer(sock, seen)
+        if behaviour is Behaviour.EARLY:
+            self._respond(sock, request)
         body = stream.read(length)
-        if len(body) == length and body != body_of(seen.request_id, length):
-            self.world.faults.append(f"{seen.request_id} has another body")
+        if len(body) == length and body != body_of(request.request_id, length):
+            self.scenario.faults.append(f"{request.request_id} has another body")
         if len(body) < length:
             return None
-        self.seen.append(seen)
-        self._does = does
-        return seen
+        self.requests.append(request)
+        self._behaviour = behaviour
+        return request
 
-    def _content(self, seen: Seen) -> bytes:
-        return f"{self.id} {seen.request_id}".encode()
+    def _body(self, request: ReceivedRequest) -> bytes:
+        return f"{self.id} {request.request_id}".encode()
 
-    def _answer(self, sock, seen: Seen, more: str = "Keep-Alive: timeout=5\r\n") -> None:
-        if seen.line.split()[1].startswith("/stream"):
+    def _respond(
+        self, sock, request: ReceivedRequest, extra_headers: str = "Keep-Alive: timeout=5\r\n"
+    ) -> None:
+        if request.line.split()[1].startswith("/stream"):
             pieces = b"".join(chunk_of(event(number)) for number in range(EVENTS))
-            sock.sendall(stream_head(seen.request_id) + pieces + b"0\r\n\r\n")
+            sock.sendall(stream_head(request.request_id) + pieces + b"0\r\n\r\n")
         else:
-            sock.sendall(answer_bytes(seen.request_id, self._content(seen), more=more))
-
-    def _do(self, sock, seen: Seen) -> bool:
-        """Carry out what is planned; whether the connection goes on."""
-        whole = answer_bytes(seen.request_id, self._content(seen))
-        match self._does:
-            case Does.WHOLE:
-                self._answer(sock, seen)
+            sock.sendall(response_bytes(request.request_id, self._body(request), extra_headers=extra_headers))
+
+    def _carry_out(self, sock, request: ReceivedRequest) -> bool:
+        """Carry out the planned behaviour; returns whether the connection stays open."""
+        whole = response_bytes(request.request_id, self._body(request))
+        match self._behaviour:
+            case Behaviour.WHOLE:
+                self._respond(sock, request)
                 return True
-            case Does.EARLY:
+            case Behaviour.EARLY:
                 return True
-            case Does.CLOSING:
-                self._answer(sock, seen, "Connection: close\r\n")
-            case Does.UNFRAMED | Does.UNFRAMED_RESET:
+            case Behaviour.CLOSING:
+                self._respond(sock, request, "Connection: close\r\n")
+            case Behaviour.UNFRAMED | Behaviour.UNFRAMED_RESET:
                 head, _, body = whole.partition(b"\r\n\r\n")
                 lines = [line for line in head.split(b"\r\n") if not line.startswith(b"Content-Length")]
-                reset_now = self._does is Does.UNFRAMED_RESET
+                reset_now = self._behaviour is Behaviour.UNFRAMED_RESET
                 sock.sendall(b"\r\n".join(lines) + b"\r\n\r\n" + (body[:-3] if reset_now else body))
                 if reset_now:
                     reset(sock)
-            case Does.DOUBLE:
+            case Behaviour.DOUBLE:
                 sock.sendall(whole + whole)
                 return True
-            case Does.SURPLUS_FIRST:
-                sock.sendall(answer_bytes("r-surplus", b"of another") + whole)
+            case Behaviour.SURPLUS_FIRST:
+                sock.sendall(response_bytes("r-surplus", b"of another") + whole)
                 return True
-            case Does.GARBAGE_BEHIND:
+            case Behaviour.GARBAGE_BEHIND:
                 sock.sendall(whole + b"\x00\x01rubbish")
                 return True
-            case Does.CUT_HEAD:
+            case Behaviour.CUT_HEAD:
                 sock.sendall(whole[:20])
-            case Does.CUT_BODY:
+            case Behaviour.CUT_BODY:
                 sock.sendall(whole[:-3])
-            case Does.RESET:
+            case Behaviour.RESET:
                 reset(sock)
-            case Does.END:
+            case Behaviour.END:
                 pass
-            case Does.GARBAGE:
+            case Behaviour.GARBAGE:
                 sock.sendall(b"\x16\x03\x01 no answer\r\n\r\n")
-            case Does.DECLINED:
-                more = "Not-Executed: full\r\nRetry-After: 0.1\r\n"
-                sock.sendall(answer_bytes(seen.request_id, b"full", "503 Full", more=more))
+            case Behaviour.DECLINED:
+                extra_headers = "Not-Executed: full\r\nRetry-After: 0.1\r\n"
+                sock.sendall(
+                    response_bytes(request.request_id, b"full", "503 Full", extra_headers=extra_headers)
+                )
                 return True
-            case Does.PROMISE:
-                sock.sendall(answer_bytes(seen.request_id, b"no", "503 Broken"))
+            case Behaviour.PROMISE:
+                sock.sendall(response_bytes(request.request_id, b"no", "503 Broken"))
                 return True
-            case Does.FAILURE:
-                sock.sendall(answer_bytes(seen.request_id, b"bad", "500 Broken"))
+            case Behaviour.FAILURE:
+                sock.sendall(response_bytes(request.request_id, b"bad", "500 Broken"))
                 return True
-            case Does.UNSIGNED:
-                sock.sendall(answer_bytes(seen.request_id, self._content(seen), signed=False))
+            case Behaviour.UNSIGNED:
+                sock.sendall(response_bytes(request.request_id, self._body(request), signed=False))
                 return True
-            case Does.OTHER_ID:
-                sock.sendall(answer_bytes("r-other", b"of another"))
+            case Behaviour.OTHER_ID:
+                sock.sendall(response_bytes("r-other", b"of another"))
                 return True
-            case Does.SILENCE:
-                sock.recv(1)  # until the agent gives up
+            case Behaviour.SILENCE:
+                sock.recv(1)  # until the agent closes the connection
         return False
 
 
 class Player:
-    """Sends the planned requests and judges their answers."""
+    """Sends the planned requests and checks the responses."""
 
-    def __init__(self, rig, world: World):
-        self.rig, self.world = rig, world
+    def __init__(self, rig, scenario: Scenario):
+        self.rig, self.scenario = rig, scenario
         self.client: Client | None = None
 
-    def play(self, number: int, plan: Planned) -> None:
+    def play(self, number: int, plan: PlannedRequest) -> None:
         request_id = f"r{number:04d}"
-        self.world.plans[request_id] = plan
+        self.scenario.plans[request_id] = plan
         body = body_of(request_id, LONG_BODY if plan.long else 30)
         client = self.client = self.client or self.rig.client()
         try:
-            client.send(plan.path, body, Request_Id=request_id, Deadline_Ms=str(GIVEN_UP_MS))
-            if plan.leaves is Leaves.GOES:
-                self._leave()
+            client.send(plan.path, body, Request_Id=request_id, Deadline_Ms=str(DEADLINE_MS))
+            if plan.client_action is ClientAction.GOES:
+                self._disconnect()
                 return
-            if plan.leaves is Leaves.PIPELINES:
+            if plan.client_action is ClientAction.PIPELINES:
                 self._pipeline(client, f"p{number:04d}")
-            self._judge(request_id, plan, client)
-            if plan.leaves is Leaves.PIPELINES:
-                self._judge(f"p{number:04d}", self.world.plans[f"p{number:04d}"], client)
+            self._check_response(request_id, plan, client)
+            if plan.client_action is ClientAction.PIPELINES:
+                self._check_response(f"p{number:04d}", self.scenario.plans[f"p{number:04d}"], client)
         except (EOFError, OSError, ValueError, gevent.Timeout):
-            self._leave()  # an answer cut short, as it must be where its backend's was
+            self._disconnect()  # truncated, as it must be if the backend's response was
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         self.client.close()
         self.rig.clients.remove(self.client)
         self.client = None
 
     def _pipeline(self, client: Client, request_id: str) -> None:
-        self.world.plans[request_id] = Planned("/web/x", Does.WHOLE, Does.WHOLE)
+        self.scenario.plans[request_id] = PlannedRequest("/web/x", Behaviour.WHOLE, Behaviour.WHOLE)
         client.send("/web/x", body_of(request_id, 30), Request_Id=request_id, Deadline_Ms="2000")
 
-    def _judge(self, request_id: str, plan: Planned, client: Client) -> None:
+    def _check_response(self, request_id: str, plan: PlannedRequest, client: Client) -> None:
         with gevent.Timeout(5):
             message = read_message(client.stream)
         if message is None:
-            raise EOFError("no answer")
+            raise EOFError("no response")
         line, headers, content = message
         status = int(line.split()[1])
-        fault = self._fault(request_id, plan, status, headers, content)
+        fault = self._find_fault(request_id, plan, status, headers, content)
         if fault:
-            self.world.faults.append(f"{request_id} {plan}: {line} {headers} {content[:60]}: {fault}")
+            self.scenario.faults.append(f"{request_id} {plan}: {line} {headers} {content[:60]}: {fault}")
         if headers.get("connection") == "close":
-            self._leave()
+            self._disconnect()
 
-    def _fault(self, request_id: str, plan: Planned, status: int, headers: dict, content: bytes) -> str:
+    def _find_fault(
+        self, request_id: str, plan: PlannedRequest, status: int, headers: dict, content: bytes
+    ) -> str:
         if headers.get("request-id") != request_id:
-            return "the answer of another request"
-        came = self.world.arrivals.get(request_id, [])
-        ran = [does for does in came if does is not Does.DECLINED]
-        if status in NOT_EXECUTED_STATUSES and ran:
+            return "the response to another request"
+        behaviours = self.scenario.behaviours_by_request.get(request_id, [])
+        executed = [behaviour for behaviour in behaviours if behaviour is not Behaviour.DECLINED]
+        if status in NOT_EXECUTED_STATUSES and executed:
             return "a false promise"
         if status >= 300:
             return ""
         if "server-signature" not in headers:
-            return "a success without a stamp"
+            return "a success without a signature"
         if plan.path.startswith("/stream") and headers.get("content-type") == "text/event-stream":
             return "" if content == b"".join(map(event, range(EVENTS))) else "a stream with other events"
         return "" if content.split()[1:] == [request_id.encode()] else "another body"
 
 
-def runs_too_often(world: World) -> list[str]:
+def executions_too_many(scenario: Scenario) -> list[str]:
     found = []
-    for request_id, came in world.arrivals.items():
-        ran = [does for does in came if does is not Does.DECLINED]
-        if len(came) > 2:
-            found.append(f"{request_id} reached {len(came)} backends")
-        if len(ran) > 1 and not world.plans[request_id].path.startswith("/safe"):
-            found.append(f"{request_id} ran {len(ran)} times: {came}")
+    for request_id, behaviours in scenario.behaviours_by_request.items():
+        executed = [behaviour for behaviour in behaviours if behaviour is not Behaviour.DECLINED]
+        if len(behaviours) > 2:
+            found.append(f"{request_id} reached {len(behaviours)} backends")
+        if len(executed) > 1 and not scenario.plans[request_id].path.startswith("/safe"):
+            found.append(f"{request_id} ran {len(executed)} times: {behaviours}")
     return found
 
 
-def faults_of(plans: list[Planned]) -> list[str]:
-    world = World()
-    backends = [ScriptedBackend(name, world) for name in ("b1", "b2")]
+def run_plans(plans: list[PlannedRequest]) -> list[str]:
+    scenario = Scenario()
+    backends = [ScriptedBackend(name, scenario) for name in ("b1", "b2")]
     with running(*backends, ack_ms=1.0) as rig:
-        player = Player(rig, world)
+        player = Player(rig, scenario)
         for number, plan in enumerate(plans):
             player.play(number, plan)
-    return world.faults + runs_too_often(world)
+    return scenario.faults + executions_too_many(scenario)
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=list(HealthCheck))
 @given(st.lists(PLANS, min_size=1, max_size=12))
-def test_each_answer_belongs_to_its_request_and_nothing_runs_twice(plans):
-    assert faults_of(plans) == []
+def test_responses_match_their_requests_and_nothing_runs_twice(plans):
+    assert run_plans(plans) == []
 
 
-def with_each_behaviour() -> list[str]:
-    """Each behaviour in turn, with whole answers behind it on the connections that are kept."""
+def run_each_behaviour() -> list[str]:
+    """Each behaviour in turn, followed by complete responses on the kept connections."""
     found = []
-    for first in Does:
-        plans = [Planned("/web/x", first, Does.WHOLE, long=long) for long in (False, True)]
-        plans += [Planned("/web/x", Does.WHOLE, Does.WHOLE), Planned("/safe/x", first, Does.WHOLE)]
-        plans += [Planned("/web/x", Does.WHOLE, Does.WHOLE)] * 2
-        found += faults_of(plans)
+    for first in Behaviour:
+        plans = [PlannedRequest("/web/x", first, Behaviour.WHOLE, long=long) for long in (False, True)]
+        plans += [
+            PlannedRequest("/web/x", Behaviour.WHOLE, Behaviour.WHOLE),
+            PlannedRequest("/safe/x", first, Behaviour.WHOLE),
+        ]
+        plans += [PlannedRequest("/web/x", Behaviour.WHOLE, Behaviour.WHOLE)] * 2
+        found += run_plans(plans)
     return found
 
 
-def test_each_behaviour_before_whole_answers_on_kept_connections():
-    assert with_each_behaviour() == []
+def test_each_behaviour_followed_by_complete_responses():
+    assert run_each_behaviour() == []
 
 
-def test_a_request_that_is_sent_again_after_a_reset_is_caught(monkeypatch):
+def test_a_forbidden_retry_after_a_reset_is_detected(monkeypatch):
     monkeypatch.setattr(Exchange, "_may_retry", lambda self: True)
-    assert any("ran 2 times" in fault for fault in with_each_behaviour())
+    assert any("ran 2 times" in fault for fault in run_each_behaviour())
 
 
-def test_an_answer_that_is_taken_whatever_its_request_is_caught(monkeypatch):
+def test_relaying_a_response_to_another_request_is_detected(monkeypatch):
     monkeypatch.setattr(BackendResponse, "read_head", BackendResponse._read_one_head)
-    assert any("of another" in fault for fault in with_each_behaviour())
+    assert any("of another" in fault for fault in run_each_behaviour())
 
 
-def test_a_promise_after_something_was_sent_is_caught(monkeypatch):
+def test_a_false_not_executed_guarantee_is_detected(monkeypatch):
     def promise(self):
         self.relay.respond_directly(HTTPStatus.SERVICE_UNAVAILABLE, 1.0)
 
     monkeypatch.setattr(Exchange, "_give_up", promise)
-    assert any("a false promise" in fault for fault in with_each_behaviour())
+    assert any("a false promise" in fault for fault in run_each_behaviour())
--- a/tests/system/test_dataplane_many_backends.py
+++ b/tests/system/test_dataplane_many_backends.py
@@ -1,4 +1,4 @@
-"""What each change of the catalogue, the configuration or the members does to all connections."""
+"""Effects of catalogue, configuration and member changes on all connection pools."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     return {name: Address(f"10.0.0.{number}", 80) for number, name in enumerate(names)}
 
 
-def test_each_backend_gets_its_own_services_part(connections):
+def test_each_backend_gets_the_limit_of_its_service(connections):
     connections.members = 4
     connections.update(addresses("a", "b", "c", "d"), {"a": 100, "b": 50, "c": 0})
     opened = {name: pool.max_open for name, pool in connections.pools.items()}
     assert opened == {"a": 20, "b": 10, "c": UNLIMITED_CONNECTIONS, "d": UNLIMITED_CONNECTIONS}
 
 
-def test_parts_follow_the_members_and_pools_stay(connections):
+def test_limits_follow_the_members_and_pools_stay(connections):
     connections.update(addresses("a", "b"), {"a": 100, "b": 100})
     before = dict(connections.pools)
     connections.members = 10
@@ -42,22 +42,22 @@
     assert connections.pool("a").address == ("10.0.0.2", 80)
 
 
-def test_a_backend_that_left_loses_its_pool(connections):
+def test_a_removed_backend_loses_its_pool(connections):
     connections.update(addresses("a", "b"), {"a": 10, "b": 10})
-    left = connections.pool("b")
+    removed = connections.pool("b")
     connections.update(addresses("a"), {"a": 10})
-    assert left.retired
+    assert removed.retired
     assert connections.pool("b") is None
 
 
-def test_members_that_come_and_go_change_the_parts_without_a_new_list(connections):
+def test_member_changes_update_the_limits_without_a_new_catalogue(connections):
     connections.members = 4
     connections.update(addresses("a", "b", "c"), {"a": 100, "b": 50})
     connections.members = 10
     assert [pool.max_open for pool in connections.pools.values()] == [8, 4, UNLIMITED_CONNECTIONS]
 
 
-def test_a_backend_that_accepts_more_by_a_new_configuration_gets_the_new_part(connections):
+def test_a_configuration_change_updates_the_limit_of_a_backend(connections):
     connections.update(addresses("a", "b"), {"a": 100, "b": 100})
     before = connections.pool("a")
     connections.update(addresses("a", "b"), {"a": 50, "b": 100})
--- a/tests/system/test_dataplane_routing.py
+++ b/tests/system/test_dataplane_routing.py
@@ -1,4 +1,4 @@
-"""The routing table: longest prefixes, splits, and deltas that give the same table as the whole."""
+"""Routing table: longest prefix match, traffic splits, and incremental updates."""
 
 import json
 from collections import Counter
@@ -22,7 +22,7 @@
 
 
 @given(st.sets(PREFIXES, max_size=6), SEGMENTS, st.sampled_from(["", "?q=/a/b/", "x"]))
-def test_the_longest_prefix_that_begins_the_path_wins(prefixes, parts, end):
+def test_the_longest_matching_prefix_wins(prefixes, parts, end):
     path = "/" + "/".join(parts) + end
     table = updated_table(RoutingTable(), state(prefixes))
     bare = path.partition("?")[0]
@@ -32,7 +32,7 @@
 
 
 @given(st.lists(st.tuples(st.sets(PREFIXES, max_size=4), st.sampled_from(["web", "other"])), max_size=5))
-def test_a_table_brought_up_to_date_equals_one_made_anew(states):
+def test_an_updated_table_equals_a_new_one(states):
     table = RoutingTable()
     for prefixes, service in states:
         before = table
@@ -45,7 +45,7 @@
         assert {host: dict(routes) for host, routes in before.hosts.items()} == held
 
 
-def test_hosts_are_told_apart_whatever_their_case_and_port():
+def test_host_matching_ignores_case_and_port():
     table = updated_table(RoutingTable(), entries())
     assert table.find(b"Shop.Example:8080", b"/web/x") is not None
     assert table.find(b"shop.example.", b"/web/x") is None
@@ -53,7 +53,7 @@
     assert table.find(HOST.encode(), b"/web") is None
 
 
-def test_services_are_drawn_by_their_weights():
+def test_services_are_chosen_by_their_weights():
     split = [WeightedService("a", 90), WeightedService("b", 10), WeightedService("c", 0)]
     target = route_target(Route(HOST, "/web/", 1000.0, traffic_split=split))
     drawn = Counter(target.pick_service(Random(seed)) for seed in range(1000))
@@ -70,13 +70,11 @@
     st.integers(1, 8),
     st.integers(0, 2**32),
 )
-def test_the_parts_of_a_split_get_their_shares_of_a_few_hundred_requests_of_several_agents(
-    weights, agents, seed
-):
+def test_a_traffic_split_is_even_over_a_few_hundred_requests(weights, agents, seed):
     split = [WeightedService(f"s{number}", weight) for number, weight in enumerate(weights)]
     random = Random(seed)
     targets = [route_target(Route(HOST, "/web/", 1000.0, traffic_split=split)) for _ in range(agents)]
     drawn = Counter(targets[number % agents].pick_service(random) for number in range(320))
     for part in split:
-        # Each agent's own draws are off by two or three at the most.
+        # Each agent's own choices are off by at most three.
         assert abs(drawn[part.service] - 320 * part.weight / sum(weights)) <= 3 * agents
--- a/tests/system/test_early_listener.py
+++ b/tests/system/test_early_listener.py
@@ -1,4 +1,4 @@
-"""Clients that come while a data plane is still loaded, or has no configuration yet, wait a moment."""
+"""Clients that connect while a data plane is starting, or has no configuration yet, wait briefly."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 from nettledeal.dataplane.agent import DataPlane
 from nettledeal.dataplane.ingress import MAX_START_WAIT_S, START_WAIT_SHARE
 from nettledeal.programs.commands.data_plane import frontend_listener
-from system.dataplane_rig import Client, StandIn, catalogue, entries, make_settings, running
+from system.dataplane_rig import Client, FakeBackend, catalogue, entries, make_settings, running
 
 LOADS_NO_LOOP = """
 import sys
@@ -21,13 +21,13 @@
 
 @pytest.fixture
 def backend():
-    stand_in = StandIn("i-1")
-    stand_in.start()
-    yield stand_in
-    stand_in.stop()
+    backend = FakeBackend("i-1")
+    backend.start()
+    yield backend
+    backend.stop()
 
 
-def test_a_client_that_connects_before_the_plane_is_there_is_served(backend):
+def test_a_client_that_connects_before_the_data_plane_starts_is_served(backend):
     settings = make_settings()
     listener = frontend_listener(settings)
     client = Client(listener.getsockname())
@@ -45,12 +45,12 @@
         plane.connections.close()
 
 
-def test_the_listener_is_there_before_the_libraries_of_the_plane_are_loaded():
+def test_the_listener_opens_before_the_data_plane_is_imported():
     subprocess.run([sys.executable, "-c", LOADS_NO_LOOP], check=True, env={"PYTHONPATH": ":".join(sys.path)})
 
 
-def test_a_request_that_comes_just_before_the_first_configuration_is_served():
-    with running(StandIn("i-1"), control={}) as rig:
+def test_a_request_just_before_the_first_configuration_is_served():
+    with running(FakeBackend("i-1"), control={}) as rig:
         client = rig.client()
         client.send()
         gevent.idle()
@@ -58,13 +58,13 @@
         assert client.receive()[0] == 200
 
 
-def test_one_that_comes_earlier_is_told_when_to_come_back():
-    with running(StandIn("i-1"), control={}) as rig:
+def test_an_earlier_request_is_told_when_to_retry():
+    with running(FakeBackend("i-1"), control={}) as rig:
         status, headers, _ = rig.client().ask(Deadline_Ms="400")
         assert (status, "retry-after" in headers) == (503, True)
-        assert not rig.backends[0].seen
+        assert not rig.backends[0].requests
 
 
-def test_nobody_waits_for_more_than_a_small_part_of_his_time():
+def test_the_wait_at_startup_is_a_small_part_of_the_deadline():
     assert START_WAIT_SHARE <= 0.05
     assert MAX_START_WAIT_S <= 0.25
--- a/tests/system/test_tenancy_data_plane.py
+++ b/tests/system/test_tenancy_data_plane.py
@@ -20,7 +20,7 @@
 )
 from nettledeal.tenancy.sealing import make_region_key
 from nettledeal_simulations.tenant_world import region_keys
-from system.dataplane_rig import StandIn, catalogue, read_message, running
+from system.dataplane_rig import FakeBackend, catalogue, read_message, running
 
 PROMPT = "0a01:900,0a02:900,ff:60"
 PLACES = {FUND: own_service(FUND), BANK: POOLED}
@@ -44,14 +44,14 @@
 
 
 def test_a_rewritten_service_gets_ids_of_the_tenant_and_no_token():
-    with running(StandIn("i-1", POOLED)) as rig:
+    with running(FakeBackend("i-1", POOLED)) as rig:
         client = with_tenants(rig).client()
         for tenant in (FUND, FUND, BANK):
             status, _, _ = client.ask(
                 f"/{ANY_PATH}/new", b"{}", host=HOST, Prompt_Prefix=PROMPT, **proof(tenant)
             )
             assert status == 200
-        first, second, other = (seen.headers for seen in rig.backends[0].seen)
+        first, second, other = (seen.headers for seen in rig.backends[0].requests)
         assert "tenant" not in first and "tenant-token" not in first
         assert [part.partition(":")[2] for part in first["prompt-prefix"].split(",")] == ["900", "900", "60"]
         assert "0a01" not in first["prompt-prefix"].split(":")
@@ -67,33 +67,33 @@
     control = ControlHistory()
     assert control.put_configuration(make_configuration(Plan(1, PLACES, public)))
     control.rotate(FUND, public)
-    with running(StandIn("i-1", POOLED)) as rig:
+    with running(FakeBackend("i-1", POOLED)) as rig:
         rig.plane.settings = msgspec.structs.replace(rig.plane.settings, tenant_region_key=str(path))
         client = with_tenants(rig, control.versions[-1]).client()
         for _ in range(2):
             client.ask(f"/{ANY_PATH}/new", b"{}", host=HOST, Prompt_Prefix=PROMPT, **proof(FUND))
-        first, second = (seen.headers["prompt-prefix"] for seen in rig.backends[0].seen)
+        first, second = (seen.headers["prompt-prefix"] for seen in rig.backends[0].requests)
         assert first == second != PROMPT
 
 
 def test_a_service_whose_ids_may_not_be_rewritten_gets_the_client_s():
-    with running(StandIn("i-1", own_service(FUND))) as rig:
+    with running(FakeBackend("i-1", own_service(FUND))) as rig:
         client = with_tenants(rig).client()
         assert client.ask(f"/{FUND}/new", b"{}", host=HOST, Prompt_Prefix=PROMPT)[0] == 200
-        assert rig.backends[0].seen[0].headers["prompt-prefix"] == PROMPT
+        assert rig.backends[0].requests[0].headers["prompt-prefix"] == PROMPT
 
 
 def test_a_contradicting_request_is_answered_and_reaches_no_backend():
-    with running(StandIn("i-1", own_service(FUND))) as rig:
+    with running(FakeBackend("i-1", own_service(FUND))) as rig:
         client = with_tenants(rig).client()
         status, headers, _ = client.ask(f"/{FUND}/new", b"{}", host=HOST, Prompt_Prefix=PROMPT, Tenant=BANK)
         assert (status, headers["request-id"]) == (401, "r1")
-        assert rig.backends[0].seen == []
+        assert rig.backends[0].requests == []
         assert client.ask(f"/{FUND}/new", b"{}", host=HOST, Prompt_Prefix=PROMPT)[0] == 200
 
 
 def test_the_readiness_address_tells_counts_by_tenant():
-    with running(StandIn("i-1", own_service(FUND))) as rig:
+    with running(FakeBackend("i-1", own_service(FUND))) as rig:
         client = with_tenants(rig).client()
         client.ask(f"/{FUND}/new", b"{}", host=HOST, Prompt_Prefix=PROMPT, Token_Usage="1860,4")
         client.ask(f"/{FUND}/new", b"{}", host=HOST, Prompt_Prefix="x")
@@ -105,10 +105,10 @@
 
 
 def test_without_tenants_a_request_passes_as_ever():
-    with running(StandIn("i-1")) as rig:
+    with running(FakeBackend("i-1")) as rig:
         client = rig.client()
         assert client.ask(Prompt_Prefix="x y:,", Tenant="A b", Tenant_Token="t")[0] == 200
-        seen = rig.backends[0].seen[0].headers
+        seen = rig.backends[0].requests[0].headers
         assert (seen["prompt-prefix"], seen["tenant"], seen["tenant-token"]) == ("x y:,", "A b", "t")
         assert get(rig, "/tenants")[0] == 404
         assert rig.plane.forwarding.tenants is None
