--- a/tests/system/engine_fleet.py
+++ b/tests/system/engine_fleet.py
@@ -85,24 +85,24 @@
 
 
 @dataclass
-class ReadTokens:
+class ReadStats:
     """Tokens that engines read, and shared ones among them that some engine had read a short time before."""
 
-    read: int = 0
-    reread_tokens: int = 0
+    tokens_read: int = 0
+    tokens_reread: int = 0
     used_at: dict[str, float] = field(default_factory=dict)
 
     def record(self, call: CallDescription, cached: bool, now: float) -> None:
         last = self.used_at.get(call.prefix_key)
         if not cached and last is not None and now - last <= REREAD_WINDOW_S:
-            self.reread_tokens += call.shared_tokens
+            self.tokens_reread += call.shared_tokens
         self.used_at[call.prefix_key] = now
 
 
 class Engine:
     """One simulated backend."""
 
-    def __init__(self, clock: Clock, entry: BackendEntry, model: EngineModel, reads: ReadTokens):
+    def __init__(self, clock: Clock, entry: BackendEntry, model: EngineModel, reads: ReadStats):
         self.clock, self.entry, self.model, self.reads = clock, entry, model, reads
         self.waiting: list[EngineRequest] = []
         self.running: list[EngineRequest] = []
@@ -184,7 +184,7 @@
         cached = call.prefix_key in self.cache
         self.reads.record(call, cached, self.clock.now)
         request.unread_tokens = max(1, call.prompt_tokens - (call.shared_tokens if cached else 0))
-        self.reads.read_tokens += request.unread_tokens
+        self.reads.tokens_read += request.unread_tokens
         self.cache[call.prefix_key] = call.shared_tokens
         self.cache.move_to_end(call.prefix_key)
         while sum(self.cache.values()) > left and self.cache:
@@ -257,7 +257,7 @@
         tuning: Tuning | None = None,
         report_delay_s: float | None = None,
     ):
-        self.zones, self.random, self.clock, self.reads = zones, Random(seed), Clock(), ReadTokens()
+        self.zones, self.random, self.clock, self.reads = zones, Random(seed), Clock(), ReadStats()
         self.engines = {
             entry.id: Engine(self.clock, entry, model or EngineModel(), self.reads) for entry in entries
         }
--- a/tests/system/test_dataplane_changes.py
+++ b/tests/system/test_dataplane_changes.py
@@ -129,13 +129,13 @@
 
 
 EVENTS_WHILE_READY = {
-    "all backends leave the catalogue": lambda make_plane: make_plane.apply_catalogue((1, 2), {}),
-    "all zones are evacuated": lambda make_plane: make_plane.apply_control(
+    "all backends leave the catalogue": lambda plane: plane.apply_catalogue((1, 2), {}),
+    "all zones are evacuated": lambda plane: plane.apply_control(
         2, entries(evacuated=("north-1", "south-1"))
     ),
-    "no route is left": lambda make_plane: make_plane.apply_control(2, {"limits": b"{}", "generation": b"2"}),
-    "the other members leave": lambda make_plane: make_plane.set_data_plane_members(1, []),
-    "zones are suspect": lambda make_plane: make_plane.set_suspect_zones(["north-1", "south-1"]),
+    "no route is left": lambda plane: plane.apply_control(2, {"limits": b"{}", "generation": b"2"}),
+    "the other members leave": lambda plane: plane.set_data_plane_members(1, []),
+    "zones are suspect": lambda plane: plane.set_suspect_zones(["north-1", "south-1"]),
 }
 
 
@@ -144,8 +144,8 @@
 def test_a_serving_data_plane_stays_ready(event):
     """A partitioned data plane, or one without backends, still responds to each request at once."""
     with running(FakeBackend("i-1")) as rig:
-        assert rig.make_plane.ready
-        event(rig.make_plane)
-        assert rig.make_plane.ready
-        rig.make_plane.ingress.drain()
-        assert not rig.make_plane.ready
+        assert rig.plane.ready
+        event(rig.plane)
+        assert rig.plane.ready
+        rig.plane.ingress.drain()
+        assert not rig.plane.ready
--- a/tests/system/test_dataplane_streams.py
+++ b/tests/system/test_dataplane_streams.py
@@ -1,4 +1,4 @@
-"""Streams: relayed as they arrive, never ended as complete when broken off, resumed if the route allows it."""
+"""Streams: relayed as they arrive, never complete when broken off, resumed if the route allows it."""
 
 import pytest
 from gevent.event import Event
--- a/tests/system/test_selection_fleet.py
+++ b/tests/system/test_selection_fleet.py
@@ -26,7 +26,7 @@
 
 
 def timely_share(fleet: Fleet, route: str) -> float:
-    return fleet.results[route].timely_share / fleet.results[route].sent
+    return fleet.results[route].timely / fleet.results[route].sent
 
 
 def test_without_faults_requests_are_in_time_and_stay_in_the_region():
@@ -38,7 +38,7 @@
         ask_shares.append(timely_share(fleet, "ask"))
         digest_shares.append(timely_share(fleet, "digest"))
         assert fleet.results["digest"].region_crossings < 0.05 * fleet.results["digest"].sent
-        assert fleet.reads.reread_tokens < 0.35 * 13300 * fleet.results["digest"].sent
+        assert fleet.reads.tokens_reread < 0.35 * 13300 * fleet.results["digest"].sent
         assert not any(result.failed or result.refused for result in fleet.results.values())
     assert min(ask_shares) > 0.99
     assert mean(digest_shares) > 0.92
