--- a/src/nettledeal/dataplane/agent.py
+++ b/src/nettledeal/dataplane/agent.py
@@ -134,9 +134,9 @@
         """
         was_ready = self.ready
         now = time.monotonic()
-        whole = changed_keys is None or not self._catalogue_applied
+        full_update = changed_keys is None or not self._catalogue_applied
         self._catalogue_applied = False
-        if whole:
+        if full_update:
             self.selector.update_backends(self.known_backends.update(entries, now), now)
             self._update_connections()
         else:
--- a/src/nettledeal/dataplane/backend_connections.py
+++ b/src/nettledeal/dataplane/backend_connections.py
@@ -30,7 +30,7 @@
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
 # Share of the backend's idle timeout that is used: it is stated in whole seconds, and counted from earlier.
-IDLE_SHARE = 0.6
+IDLE_TIMEOUT_SHARE = 0.6
 # If the backend states none, its timeout may be below a second.
 DEFAULT_IDLE_LIMIT_S = 0.3
 MAX_IDLE_LIMIT_S = 10.0
@@ -58,7 +58,7 @@
         for option in value.lower().split(b","):
             name, _, seconds = option.strip().partition(b"=")
             if name.strip() == b"timeout" and seconds.strip().isdigit():
-                self.idle_limit_s = min(MAX_IDLE_LIMIT_S, IDLE_SHARE * int(seconds))
+                self.idle_limit_s = min(MAX_IDLE_LIMIT_S, IDLE_TIMEOUT_SHARE * int(seconds))
 
     def release(self, now: float) -> None:
         """Return the connection to the pool after a complete response with nothing behind it."""
@@ -84,8 +84,8 @@
 
     def reusable(self, now: float, max_idle_s: float = MAX_IDLE_LIMIT_S) -> bool:
         """Whether the connection is within its idle limits and nothing has arrived on it."""
-        idle_limit_reached = self.idle_limit_reached(now) or now - self.idle_since >= max_idle_s
-        return not idle_limit_reached and peek(self.sock) is None
+        expired = self.idle_limit_reached(now) or now - self.idle_since >= max_idle_s
+        return not expired and peek(self.sock) is None
 
 
 class ConnectionLimit:
@@ -118,7 +118,7 @@
         self.limit = limit
         self.learned_idle_limit = learned_idle_limit
         self.connect_timeout_s = FIRST_CONNECT_TIMEOUT_S
-        self.open = 0
+        self.open_count = 0
         self.idle: deque[BackendConnection] = deque()
         self.retired = False
 
@@ -149,27 +149,27 @@
                 connection.idle_before_request_s = now - connection.idle_since
                 return connection
             connection.close()
-        if self.open >= self.max_open:
+        if self.open_count >= self.max_open:
             raise ServingError(ErrorCode.UNAVAILABLE, "connect to backend", "too many", str(self.address))
-        self.open += 1
+        self.open_count += 1
         try:
             return BackendConnection(self, self._connect(timeout_s), self.memory_pool)
         except BaseException:
-            self.open -= 1
+            self.open_count -= 1
             raise
 
     def try_connect(self, now: float) -> bool:
         """Open a connection and keep it for the next request; returns whether the backend is reachable."""
-        if self.open >= self.max_open:
+        if self.open_count >= self.max_open:
             return True
-        self.open += 1
+        self.open_count += 1
         try:
             connection = BackendConnection(self, self._connect(FIRST_CONNECT_TIMEOUT_S), self.memory_pool)
         except ServingError:
-            self.open -= 1
+            self.open_count -= 1
             return False
         except BaseException:
-            self.open -= 1
+            self.open_count -= 1
             raise
         self.put_back(connection, now)
         return True
@@ -200,7 +200,7 @@
 
     def put_back(self, connection: BackendConnection, now: float) -> None:
         """Keep a connection for the next request, unless the backend is retired."""
-        if self.retired or connection.closed or self.open > self.max_open:
+        if self.retired or connection.closed or self.open_count > self.max_open:
             connection.close()
             return
         connection.sock.settimeout(None)
@@ -210,7 +210,7 @@
 
     def connection_closed(self) -> None:
         """One of the connections was closed."""
-        self.open -= 1
+        self.open_count -= 1
 
     def close_idle(self, now: float) -> None:
         """Close connections past their idle limits; the deque is ordered by last use, not by limit."""
--- a/src/nettledeal/dataplane/call_description.py
+++ b/src/nettledeal/dataplane/call_description.py
@@ -34,7 +34,7 @@
 def _prompt_parts(request: ClientRequest, target: RouteTarget) -> tuple[PromptPart, ...]:
     if request.separated is not None:
         return request.separated.parts
-    if target.of_tenants:
+    if target.requires_tenant:
         raise ServingError(ErrorCode.UNPROVEN_TENANT, "describe call", target.route.name)
     return _parse_prompt_prefix(request.header(b"prompt-prefix"))
 
--- a/src/nettledeal/dataplane/client_request.py
+++ b/src/nettledeal/dataplane/client_request.py
@@ -37,7 +37,7 @@
         """The length of the request in bytes, None while it is incomplete. Raises Malformed."""
         return self.message.look(buffer, filled)
 
-    def check(self) -> None:
+    def validate(self) -> None:
         """Raises Malformed if the request can't be forwarded to a backend as it is."""
         if not self.path.startswith(b"/"):
             raise Malformed(HTTPStatus.BAD_REQUEST, "request target is not a path")
@@ -52,7 +52,7 @@
         """The value of a header by its lower-case name; empty if missing."""
         return self.message.headers.get(name, b"")
 
-    def count(self, name: bytes) -> int:
+    def header_count(self, name: bytes) -> int:
         """How many headers have this lower-case name."""
         if name not in self.message.headers:
             return 0
@@ -99,20 +99,20 @@
             requested_s = MAX_DEADLINE_S
         return min(requested_s, route_timeout_s)
 
-    def parts_for(
-        self, instance: str, priority: int, remaining_s: float, last_event_id: bytes | None = None
+    def encode_for_backend(
+        self, backend_id: str, priority: int, remaining_s: float, last_event_id: bytes | None = None
     ) -> list[bytes | memoryview]:
         """The request as sent to one backend; `last_event_id` resumes a stream after that event."""
         message = self.message
-        replaced = _PER_ATTEMPT_HEADERS if last_event_id is None else _PER_ATTEMPT_HEADERS_ON_RESUME
+        replaced_headers = _PER_ATTEMPT_HEADERS if last_event_id is None else _PER_ATTEMPT_HEADERS_ON_RESUME
         if self.separated is not None:
-            replaced += _TENANT_HEADERS
-            replaced += (_PROMPT_PREFIX,) if self.rewrites_prompt else ()
+            replaced_headers += _TENANT_HEADERS
+            replaced_headers += (_PROMPT_PREFIX,) if self.rewrites_prompt else ()
         lines = [
             b"%b %b HTTP/1.1\r\n" % (message.method, message.url),
-            message.passed_on(*replaced),
+            message.passed_on(*replaced_headers),
             b"Deadline-Ms: %d\r\nExpect-Instance: %b\r\nPriority: %d\r\n"
-            % (max(1, int(remaining_s * MS_PER_S)), instance.encode("latin-1"), priority),
+            % (max(1, int(remaining_s * MS_PER_S)), backend_id.encode("latin-1"), priority),
         ]
         if last_event_id is not None:
             lines.append(b"Last-Event-Id: %b\r\n" % last_event_id)
--- a/src/nettledeal/dataplane/forwarding.py
+++ b/src/nettledeal/dataplane/forwarding.py
@@ -235,7 +235,7 @@
     ) -> BackendResponse | None:
         """Send the request; None if no byte of it was accepted by the connection."""
         remaining_s = self.deadline - time.monotonic() - DEADLINE_MARGIN_S
-        parts = self.request.parts_for(
+        parts = self.request.encode_for_backend(
             backend_id, self.target.route.priority, remaining_s, self.relay.last_event_id
         )
         try:
--- a/src/nettledeal/dataplane/ingress.py
+++ b/src/nettledeal/dataplane/ingress.py
@@ -259,7 +259,7 @@
             if not read_buffer.read(self.sock, request.message.whole, request.message.kept):
                 return None
             used = request.read(read_buffer.buffer, read_buffer.filled)
-        request.check()
+        request.validate()
         read_buffer.next(used)
         return request
 
@@ -308,7 +308,7 @@
 
     def _forward(self, request: ClientRequest, target: RouteTarget) -> bool:
         """Send the final response; returns whether it is complete. Raises ClientDisconnected."""
-        if target.of_tenants:
+        if target.requires_tenant:
             admitted = self._admit(request, target)
             if admitted is None:
                 return True
--- a/src/nettledeal/dataplane/retry_budget.py
+++ b/src/nettledeal/dataplane/retry_budget.py
@@ -32,8 +32,8 @@
     ratio: float
     slack: float
     window_s: float
-    margin: float = 0.75
-    slack_margin: float = 0.65
+    ratio_safety_factor: float = 0.75
+    slack_safety_factor: float = 0.65
     # Spent attempts are counted longer and earned ones shorter than the window, to allow for network delay.
     window_margin_s: float = 0.75
 
@@ -101,8 +101,8 @@
         spent = self._spent.get(service, deque())
         self._drop_before(earned, now - self.terms.window_s + self.terms.window_margin_s)
         self._drop_before(spent, now - self.terms.window_s - self.terms.window_margin_s)
-        slack = self.share.amount(service, self.terms.slack * self.terms.slack_margin, now)
-        return slack + self.terms.ratio * self.terms.margin * len(earned) - len(spent)
+        slack = self.share.amount(service, self.terms.slack * self.terms.slack_safety_factor, now)
+        return slack + self.terms.ratio * self.terms.ratio_safety_factor * len(earned) - len(spent)
 
     def try_spend(self, service: str, now: float) -> bool:
         """Spend one additional attempt (a retry, or a stream resumed at another backend) if available."""
--- a/src/nettledeal/dataplane/routing_table.py
+++ b/src/nettledeal/dataplane/routing_table.py
@@ -58,7 +58,7 @@
     target_latency_s: float
     repeatable: bool
     resumable: bool
-    of_tenants: bool = False
+    requires_tenant: bool = False
     split_sequence: LowDiscrepancySequence = field(default_factory=LowDiscrepancySequence, compare=False)
 
     def pick_service(self, random: Random) -> str:
@@ -83,7 +83,7 @@
         target_latency_s=route.target_latency_ms / MS_PER_S,
         repeatable=resumable or route.repeatable,
         resumable=resumable,
-        of_tenants=route.is_of_tenants,
+        requires_tenant=route.is_of_tenants,
     )
 
 
--- a/src/nettledeal/standins/tenant_fleet.py
+++ b/src/nettledeal/standins/tenant_fleet.py
@@ -80,13 +80,13 @@
         request = ClientRequest(MOST_HEADER, MOST_BODY)
         try:
             request.read(bytearray(text), len(text))
-            request.check()
+            request.validate()
         except Malformed as error:
             return HTTPStatus(error.status)
         target = self.table.find(request.header(b"host"), request.path)
         if target is None:
             return HTTPStatus.NOT_FOUND if self.table.configured else HTTPStatus.SERVICE_UNAVAILABLE
-        if target.of_tenants:
+        if target.requires_tenant:
             try:
                 target = self.gate.admit(request, target)
             except TenantRefusal as refusal:
@@ -104,7 +104,7 @@
         if engine is None:
             self.selector.finish_attempt(attempt, AttemptOutcome.UNREACHABLE, now)
             return HTTPStatus.SERVICE_UNAVAILABLE
-        engine.read(tenant, b"".join(request.parts_for(chosen.id, 1, 1.0)))
+        engine.read(tenant, b"".join(request.encode_for_backend(chosen.id, 1, 1.0)))
         self.selector.record_first_event(attempt, now + 0.01)
         self.selector.finish_attempt(attempt, AttemptOutcome.COMPLETED, now + 0.02)
         return HTTPStatus.OK
--- a/src/nettledeal/tenancy/gate.py
+++ b/src/nettledeal/tenancy/gate.py
@@ -79,7 +79,7 @@
         self.counters.attempted(prompt.tenant.name, attempt.call.prompt_tokens, attempt.uncached_tokens)
 
     def _separated(self, request: ClientRequest, policy: TenantPolicy) -> SeparatedPrompt:
-        if request.count(PREFIX_HEADER) > 1:
+        if request.header_count(PREFIX_HEADER) > 1:
             raise TenantRefusal(RefusalReason.BAD_PROMPT, policy.name)
         try:
             return self._separate(ProvenTenant(policy.name), self.keys, request.header(PREFIX_HEADER))
@@ -101,7 +101,7 @@
 
     def _named(self, request: ClientRequest) -> str:
         """The tenant that the request names, unproven; empty where it names none."""
-        if request.count(TENANT_HEADER) > 1 or request.count(TOKEN_HEADER) > 1:
+        if request.header_count(TENANT_HEADER) > 1 or request.header_count(TOKEN_HEADER) > 1:
             raise TenantRefusal(RefusalReason.TWO_TENANTS)
         named = request.header(TENANT_HEADER).decode("latin-1")
         if named and not is_name(named):
--- a/tests/system/test_dataplane_idle_limit.py
+++ b/tests/system/test_dataplane_idle_limit.py
@@ -52,7 +52,7 @@
     peers.append(theirs)
     connection = BackendConnection(pool, ours, connections.memory_pool)
     connection.idle_limit_s = 5.0
-    pool.open += 1
+    pool.open_count += 1
     pool.put_back(connection, since)
     return connection
 
--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -234,7 +234,9 @@
     system.run(LEASE_S + 5.0)
     system.isolated_spent = 0
     system.run(60.0)
-    assert (system.isolated_spent > 0) == (TERMS.slack * TERMS.slack_margin * lease.ISOLATED_SHARE >= count)
+    assert (system.isolated_spent > 0) == (
+        TERMS.slack * TERMS.slack_safety_factor * lease.ISOLATED_SHARE >= count
+    )
     system.heal()
     system.run(2 * keeper.EXPIRED_AFTER_S)
     assert roster_in(system.state.entries).granted == set(system.agents)
