--- a/tests/system/dataplane_rig.py
+++ b/tests/system/dataplane_rig.py
@@ -99,11 +99,9 @@
 Script = Callable[["FakeBackend", socket.socket, ReceivedRequest], bool]
 
 
-def respond(backend: FakeBackend, sock: socket.socket, requests: ReceivedRequest) -> bool:
+def respond(backend: FakeBackend, sock: socket.socket, request: ReceivedRequest) -> bool:
     """Respond with the backend's id and keep the connection open."""
-    sock.sendall(
-        response_bytes(requests.request_id, backend.id.encode(), extra_headers=backend.extra_headers)
-    )
+    sock.sendall(response_bytes(request.request_id, backend.id.encode(), extra_headers=backend.extra_headers))
     return True
 
 
@@ -132,7 +130,7 @@
         self.sock.close()
 
     @property
-    def listed(self) -> Backend:
+    def catalogue_entry(self) -> Backend:
         host, port = self.sock.getsockname()
         return Backend(self.id, self.service, f"{host}:{port}", self.zone, capacity=8)
 
@@ -145,10 +143,10 @@
     def _serve(self, sock: socket.socket, number: int) -> None:
         with sock, suppress(OSError), sock.makefile("rb") as stream:
             while (message := read_message(stream)) is not None:
-                requests = ReceivedRequest(*message, number)
-                self.requests.append(requests)
+                request = ReceivedRequest(*message, number)
+                self.requests.append(request)
                 self.request_received.set()
-                if not self.script(self, sock, requests):
+                if not self.script(self, sock, request):
                     return
         self.connection_closed.set()
 
@@ -292,7 +290,7 @@
         return client
 
     def apply_catalogue(self) -> None:
-        self.plane.apply_catalogue((1, 1), catalogue(*(backend.listed for backend in self.backends)))
+        self.plane.apply_catalogue((1, 1), catalogue(*(backend.catalogue_entry for backend in self.backends)))
 
     def set_preference(self, *order: FakeBackend) -> None:
         """Make the selector prefer backends in this order."""
--- a/tests/system/engine_fleet.py
+++ b/tests/system/engine_fleet.py
@@ -50,8 +50,8 @@
 class EngineModel:
     """Speed and capacity of a model engine."""
 
-    batch: int = 64
-    queue: int = 192
+    max_batch: int = 64
+    max_waiting: int = 192
     step_s: float = 0.0056
     step_s_per_request: float = 0.00012
     tokens_per_s: float = 54_600.0
@@ -80,7 +80,7 @@
     on_event: Callable[[], None]
     on_end: Callable[[AttemptOutcome], None]
     unread_tokens: int = 0
-    produced: int = 0
+    produced_tokens: int = 0
     admitted: bool = False
 
 
@@ -122,7 +122,7 @@
             request.on_end(AttemptOutcome.UNREACHABLE)
         elif random.random() < self.failing_share:
             request.on_end(AttemptOutcome.FAILED)
-        elif len(self.waiting) >= self.model.queue:
+        elif len(self.waiting) >= self.model.max_waiting:
             request.on_end(AttemptOutcome.REFUSED)
         else:
             self.waiting.append(request)
@@ -158,17 +158,17 @@
 
     def _finish_step(self) -> None:
         for request in [request for request in self.running if request.unread_tokens == 0]:
-            request.produced += 1
-            if request.produced % self.model.tokens_per_event == 0 and not self.silent:
+            request.produced_tokens += 1
+            if request.produced_tokens % self.model.tokens_per_event == 0 and not self.silent:
                 request.on_event()
-            if request.produced >= request.call.output_tokens:
+            if request.produced_tokens >= request.call.output_tokens:
                 self.running.remove(request)
                 if not self.silent:
                     request.on_end(AttemptOutcome.COMPLETED)
         self._step()
 
     def _admit(self) -> None:
-        while self.waiting and len(self.running) < self.model.batch:
+        while self.waiting and len(self.running) < self.model.max_batch:
             request = self.waiting[0]
             call = request.call
             needed = call.prompt_tokens + call.output_tokens
@@ -200,7 +200,7 @@
     route: str
     distinct_prefixes: int
     shared_tokens: int
-    own_tokens: int
+    mean_own_tokens: int
     output_tokens: int
     target_s: float
     priority: int
@@ -211,7 +211,7 @@
         prefix_number = (
             0 if random.random() < self.hot_share else int(self.distinct_prefixes * random.random() ** 1.4)
         )
-        unshared_tokens = max(16, int(random.expovariate(1 / self.own_tokens)))
+        unshared_tokens = max(16, int(random.expovariate(1 / self.mean_own_tokens)))
         output = max(4, int(random.expovariate(1 / self.output_tokens)))
         parts = (
             PromptPart(f"{self.route}-{prefix_number}", self.shared_tokens),
@@ -241,7 +241,7 @@
     refused: int = 0
     zone_crossings: int = 0
     region_crossings: int = 0
-    times: list[float] = field(default_factory=list)
+    latencies_s: list[float] = field(default_factory=list)
 
 
 class Fleet:
@@ -332,7 +332,7 @@
         def event() -> None:
             if attempt.first_event_at is None:
                 duration_s = self.clock.now - started_at + 0.002
-                result.times.append(duration_s)
+                result.latencies_s.append(duration_s)
                 result.timely += duration_s <= call.latency_target_s
             selector.record_first_event(attempt, self.clock.now)
 
--- a/tests/system/test_dataplane_attempts.py
+++ b/tests/system/test_dataplane_attempts.py
@@ -38,8 +38,8 @@
         assert rig.client().ask()[2] == b"i-2"
 
 
-@pytest.mark.parametrize(("version", "asked_again"), [(None, False), ("7", True)])
-def test_421_for_a_requested_version_does_not_mark_a_backend_replaced(version, asked_again):
+@pytest.mark.parametrize(("version", "retried_there"), [(None, False), ("7", True)])
+def test_421_for_a_requested_version_does_not_mark_a_backend_replaced(version, retried_there):
     """421 means a replaced backend only if the client didn't ask for a version of the weights."""
     extra_headers = {"Expect_Version": version} if version else {}
     with running(FakeBackend("i-1", script=misdirect), FakeBackend("i-2")) as rig:
@@ -47,7 +47,7 @@
         assert client.ask(Request_Id="r1", **extra_headers)[2] == b"i-2"
         assert rig.backends[1].requests[0].headers.get("expect-version") == version
         client.ask(Request_Id="r2", **extra_headers)
-        assert (len(rig.backends[0].requests) == 2) is asked_again
+        assert (len(rig.backends[0].requests) == 2) is retried_there
 
 
 def test_max_attempts_limits_the_backends_that_get_a_request():
--- a/tests/system/test_dataplane_backends.py
+++ b/tests/system/test_dataplane_backends.py
@@ -30,7 +30,7 @@
     with running(FakeBackend("i-1"), FakeBackend("i-2")) as rig:
         client = rig.client()
         assert client.ask()[2] == b"i-1"
-        first, second = (backend.listed for backend in rig.backends)
+        first, second = (backend.catalogue_entry for backend in rig.backends)
         draining = Backend(first.id, "web", first.address, "north-1", state=BackendState.DRAINING)
         rig.plane.apply_catalogue((1, 2), catalogue(draining, second))
         assert rig.backends[0].connection_closed.wait(5)
--- a/tests/system/test_dataplane_connection_states.py
+++ b/tests/system/test_dataplane_connection_states.py
@@ -42,33 +42,33 @@
 class Behaviour(StrEnum):
     """How a backend handles a request."""
 
-    WHOLE = auto()
-    CLOSING = auto()
-    UNFRAMED = auto()
-    UNFRAMED_RESET = auto()
-    DOUBLE = auto()
-    SURPLUS_FIRST = auto()
-    GARBAGE_BEHIND = auto()
-    EARLY = auto()
-    CUT_HEAD = auto()
-    CUT_BODY = auto()
+    COMPLETE = auto()
+    CONNECTION_CLOSE = auto()
+    UNTIL_CLOSE = auto()
+    UNTIL_CLOSE_RESET = auto()
+    DUPLICATE = auto()
+    OTHER_RESPONSE_FIRST = auto()
+    GARBAGE_AFTER = auto()
+    EARLY_RESPONSE = auto()
+    TRUNCATED_HEAD = auto()
+    TRUNCATED_BODY = auto()
     RESET = auto()
-    END = auto()
+    CLOSE = auto()
     GARBAGE = auto()
-    DECLINED = auto()
-    PROMISE = auto()
-    FAILURE = auto()
+    NOT_EXECUTED = auto()
+    UNCONFIRMED_503 = auto()
+    ERROR_500 = auto()
     UNSIGNED = auto()
     OTHER_ID = auto()
-    SILENCE = auto()
+    NO_RESPONSE = auto()
 
 
 class ClientAction(StrEnum):
     """What a client does besides waiting for its response."""
 
-    STAYS = auto()
-    PIPELINES = auto()
-    GOES = auto()
+    WAIT = auto()
+    PIPELINE = auto()
+    DISCONNECT = auto()
 
 
 @dataclass(frozen=True)
@@ -78,8 +78,8 @@
     path: str
     first: Behaviour
     second: Behaviour
-    client_action: ClientAction = ClientAction.STAYS
-    long: bool = False
+    client_action: ClientAction = ClientAction.WAIT
+    long_body: bool = False
 
 
 PLANS = st.builds(
@@ -87,8 +87,8 @@
     path=st.sampled_from(["/web/x", "/safe/x", "/stream/x", "/once/x"]),
     first=st.sampled_from(Behaviour),
     second=st.sampled_from(Behaviour),
-    client_action=st.sampled_from([ClientAction.STAYS] * 6 + [ClientAction.PIPELINES, ClientAction.GOES]),
-    long=st.booleans(),
+    client_action=st.sampled_from([ClientAction.WAIT] * 6 + [ClientAction.PIPELINE, ClientAction.DISCONNECT]),
+    long_body=st.booleans(),
 )
 
 
@@ -114,7 +114,7 @@
         plan = self.plans.get(request.request_id)
         if plan is None:
             self.faults.append(f"a backend got {request.request_id!r}, which no client sent")
-            return Behaviour.END
+            return Behaviour.CLOSE
         behaviours.append((plan.first, plan.second)[min(len(behaviours), 1)])
         return behaviours[-1]
 
@@ -129,11 +129,11 @@
     def _serve(self, sock, number):
         with sock, suppress(OSError), sock.makefile("rb") as stream:
             while (message := self._read(stream, sock, number)) is not None:
-                if not self._carry_out(sock, message):
+                if not self._handle(sock, message):
                     return
 
     def _read(self, stream, sock, number) -> ReceivedRequest | None:
-        """Read a request; with EARLY, the response is sent before the body is read."""
+        """Read a request; with EARLY_RESPONSE, the response is sent before the body is read."""
         line = stream.readline()
         if not line:
             return None
@@ -144,7 +144,7 @@
         request = ReceivedRequest(line.decode("latin-1").strip(), headers, b"", number)
         behaviour = self.scenario.next(request)
         length = int(headers.get("content-length", 0))
-        if behaviour is Behaviour.EARLY:
+        if behaviour is Behaviour.EARLY_RESPONSE:
             self._respond(sock, request)
         body = stream.read(length)
         if len(body) == length and body != body_of(request.request_id, length):
@@ -167,53 +167,53 @@
         else:
             sock.sendall(response_bytes(request.request_id, self._body(request), extra_headers=extra_headers))
 
-    def _carry_out(self, sock, request: ReceivedRequest) -> bool:
+    def _handle(self, sock, request: ReceivedRequest) -> bool:
         """Carry out the planned behaviour; returns whether the connection stays open."""
-        whole = response_bytes(request.request_id, self._body(request))
+        complete_response = response_bytes(request.request_id, self._body(request))
         match self._behaviour:
-            case Behaviour.WHOLE:
+            case Behaviour.COMPLETE:
                 self._respond(sock, request)
                 return True
-            case Behaviour.EARLY:
+            case Behaviour.EARLY_RESPONSE:
                 return True
-            case Behaviour.CLOSING:
+            case Behaviour.CONNECTION_CLOSE:
                 self._respond(sock, request, "Connection: close\r\n")
-            case Behaviour.UNFRAMED | Behaviour.UNFRAMED_RESET:
-                head, _, body = whole.partition(b"\r\n\r\n")
+            case Behaviour.UNTIL_CLOSE | Behaviour.UNTIL_CLOSE_RESET:
+                head, _, body = complete_response.partition(b"\r\n\r\n")
                 lines = [line for line in head.split(b"\r\n") if not line.startswith(b"Content-Length")]
-                reset_now = self._behaviour is Behaviour.UNFRAMED_RESET
+                reset_now = self._behaviour is Behaviour.UNTIL_CLOSE_RESET
                 sock.sendall(b"\r\n".join(lines) + b"\r\n\r\n" + (body[:-3] if reset_now else body))
                 if reset_now:
                     reset(sock)
-            case Behaviour.DOUBLE:
-                sock.sendall(whole + whole)
+            case Behaviour.DUPLICATE:
+                sock.sendall(complete_response + complete_response)
                 return True
-            case Behaviour.SURPLUS_FIRST:
-                sock.sendall(response_bytes("r-surplus", b"of another") + whole)
+            case Behaviour.OTHER_RESPONSE_FIRST:
+                sock.sendall(response_bytes("r-surplus", b"of another") + complete_response)
                 return True
-            case Behaviour.GARBAGE_BEHIND:
-                sock.sendall(whole + b"\x00\x01rubbish")
+            case Behaviour.GARBAGE_AFTER:
+                sock.sendall(complete_response + b"\x00\x01rubbish")
                 return True
-            case Behaviour.CUT_HEAD:
-                sock.sendall(whole[:20])
-            case Behaviour.CUT_BODY:
-                sock.sendall(whole[:-3])
+            case Behaviour.TRUNCATED_HEAD:
+                sock.sendall(complete_response[:20])
+            case Behaviour.TRUNCATED_BODY:
+                sock.sendall(complete_response[:-3])
             case Behaviour.RESET:
                 reset(sock)
-            case Behaviour.END:
+            case Behaviour.CLOSE:
                 pass
             case Behaviour.GARBAGE:
                 sock.sendall(b"\x16\x03\x01 no answer\r\n\r\n")
-            case Behaviour.DECLINED:
+            case Behaviour.NOT_EXECUTED:
                 extra_headers = "Not-Executed: full\r\nRetry-After: 0.1\r\n"
                 sock.sendall(
                     response_bytes(request.request_id, b"full", "503 Full", extra_headers=extra_headers)
                 )
                 return True
-            case Behaviour.PROMISE:
+            case Behaviour.UNCONFIRMED_503:
                 sock.sendall(response_bytes(request.request_id, b"no", "503 Broken"))
                 return True
-            case Behaviour.FAILURE:
+            case Behaviour.ERROR_500:
                 sock.sendall(response_bytes(request.request_id, b"bad", "500 Broken"))
                 return True
             case Behaviour.UNSIGNED:
@@ -222,7 +222,7 @@
             case Behaviour.OTHER_ID:
                 sock.sendall(response_bytes("r-other", b"of another"))
                 return True
-            case Behaviour.SILENCE:
+            case Behaviour.NO_RESPONSE:
                 sock.recv(1)  # until the agent closes the connection
         return False
 
@@ -237,17 +237,17 @@
     def play(self, number: int, plan: PlannedRequest) -> None:
         request_id = f"r{number:04d}"
         self.scenario.plans[request_id] = plan
-        body = body_of(request_id, LONG_BODY if plan.long else 30)
+        body = body_of(request_id, LONG_BODY if plan.long_body else 30)
         client = self.client = self.client or self.rig.client()
         try:
             client.send(plan.path, body, Request_Id=request_id, Deadline_Ms=str(DEADLINE_MS))
-            if plan.client_action is ClientAction.GOES:
+            if plan.client_action is ClientAction.DISCONNECT:
                 self._disconnect()
                 return
-            if plan.client_action is ClientAction.PIPELINES:
+            if plan.client_action is ClientAction.PIPELINE:
                 self._pipeline(client, f"p{number:04d}")
             self._check_response(request_id, plan, client)
-            if plan.client_action is ClientAction.PIPELINES:
+            if plan.client_action is ClientAction.PIPELINE:
                 self._check_response(f"p{number:04d}", self.scenario.plans[f"p{number:04d}"], client)
         except (EOFError, OSError, ValueError, gevent.Timeout):
             self._disconnect()  # truncated, as it must be if the backend's response was
@@ -258,7 +258,7 @@
         self.client = None
 
     def _pipeline(self, client: Client, request_id: str) -> None:
-        self.scenario.plans[request_id] = PlannedRequest("/web/x", Behaviour.WHOLE, Behaviour.WHOLE)
+        self.scenario.plans[request_id] = PlannedRequest("/web/x", Behaviour.COMPLETE, Behaviour.COMPLETE)
         client.send("/web/x", body_of(request_id, 30), Request_Id=request_id, Deadline_Ms="2000")
 
     def _check_response(self, request_id: str, plan: PlannedRequest, client: Client) -> None:
@@ -280,9 +280,9 @@
         if headers.get("request-id") != request_id:
             return "the response to another request"
         behaviours = self.scenario.behaviours_by_request.get(request_id, [])
-        executed = [behaviour for behaviour in behaviours if behaviour is not Behaviour.DECLINED]
+        executed = [behaviour for behaviour in behaviours if behaviour is not Behaviour.NOT_EXECUTED]
         if status in NOT_EXECUTED_STATUSES and executed:
-            return "a false promise"
+            return "a false not-executed status"
         if status >= 300:
             return ""
         if "server-signature" not in headers:
@@ -292,10 +292,10 @@
         return "" if content.split()[1:] == [request_id.encode()] else "another body"
 
 
-def executions_too_many(scenario: Scenario) -> list[str]:
+def find_duplicate_executions(scenario: Scenario) -> list[str]:
     found = []
     for request_id, behaviours in scenario.behaviours_by_request.items():
-        executed = [behaviour for behaviour in behaviours if behaviour is not Behaviour.DECLINED]
+        executed = [behaviour for behaviour in behaviours if behaviour is not Behaviour.NOT_EXECUTED]
         if len(behaviours) > 2:
             found.append(f"{request_id} reached {len(behaviours)} backends")
         if len(executed) > 1 and not scenario.plans[request_id].path.startswith("/safe"):
@@ -310,7 +310,7 @@
         player = Player(rig, scenario)
         for number, plan in enumerate(plans):
             player.play(number, plan)
-    return scenario.faults + executions_too_many(scenario)
+    return scenario.faults + find_duplicate_executions(scenario)
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=list(HealthCheck))
@@ -323,12 +323,15 @@
     """Each behaviour in turn, followed by complete responses on the kept connections."""
     found = []
     for first in Behaviour:
-        plans = [PlannedRequest("/web/x", first, Behaviour.WHOLE, long=long) for long in (False, True)]
+        plans = [
+            PlannedRequest("/web/x", first, Behaviour.COMPLETE, long_body=long_body)
+            for long_body in (False, True)
+        ]
         plans += [
-            PlannedRequest("/web/x", Behaviour.WHOLE, Behaviour.WHOLE),
-            PlannedRequest("/safe/x", first, Behaviour.WHOLE),
+            PlannedRequest("/web/x", Behaviour.COMPLETE, Behaviour.COMPLETE),
+            PlannedRequest("/safe/x", first, Behaviour.COMPLETE),
         ]
-        plans += [PlannedRequest("/web/x", Behaviour.WHOLE, Behaviour.WHOLE)] * 2
+        plans += [PlannedRequest("/web/x", Behaviour.COMPLETE, Behaviour.COMPLETE)] * 2
         found += run_plans(plans)
     return found
 
@@ -348,8 +351,8 @@
 
 
 def test_a_false_not_executed_guarantee_is_detected(monkeypatch):
-    def promise(self):
+    def respond_503(self):
         self.relay.respond_directly(HTTPStatus.SERVICE_UNAVAILABLE, 1.0)
 
-    monkeypatch.setattr(Exchange, "_give_up", promise)
-    assert any("a false promise" in fault for fault in run_each_behaviour())
+    monkeypatch.setattr(Exchange, "_give_up", respond_503)
+    assert any("a false not-executed status" in fault for fault in run_each_behaviour())
--- a/tests/system/test_early_listener.py
+++ b/tests/system/test_early_listener.py
@@ -35,7 +35,7 @@
     plane = DataPlane(settings, Random(1))
     plane.start(listener)
     plane.apply_control(1, entries())
-    plane.apply_catalogue((1, 1), catalogue(backend.listed))
+    plane.apply_catalogue((1, 1), catalogue(backend.catalogue_entry))
     try:
         assert client.receive()[0] == 200
     finally:
--- a/tests/system/test_selection_choice.py
+++ b/tests/system/test_selection_choice.py
@@ -266,10 +266,12 @@
 
 def test_a_prefix_leaves_a_backend_with_a_much_longer_queue_than_another():
     """Comparing with the mean of two queues, one of them long, hid that the other backend was idle."""
-    usual, selector = make_selector(), make_selector()
-    for agent in (usual, selector):
+    unloaded, selector = make_selector(), make_selector()
+    for agent in (unloaded, selector):
         serve_request(agent, HOME_CALL, 0.5)
-    homes = {number: serve_request(usual, home_call_with_prefix(9000, number), 1.0) for number in range(40)}
+    homes = {
+        number: serve_request(unloaded, home_call_with_prefix(9000, number), 1.0) for number in range(40)
+    }
     crowded_backend = start_waiting_attempt(selector, home_call_with_prefix(39_000, 0), 1.0)
     other_number = next(number for number, home in homes.items() if home == crowded_backend and number)
     assert start_waiting_attempt(selector, home_call_with_prefix(9000, other_number), 1.0) != crowded_backend
@@ -282,8 +284,8 @@
     assert start_waiting_attempt(selector, call_with_prefix(1), 1.1) == home
 
 
-@pytest.mark.parametrize(("tokens", "steered"), [(600, False), (2_900, False), (3_100, True), (13_000, True)])
-def test_a_small_prefix_is_read_again_rather_than_opening_a_connection(tokens, steered):
+@pytest.mark.parametrize(("tokens", "stays"), [(600, False), (2_900, False), (3_100, True), (13_000, True)])
+def test_a_small_prefix_is_read_again_rather_than_opening_a_connection(tokens, stays):
     """An agent with few requests per backend used to open a connection for nearly every small prefix."""
     parts = (PromptPart("summary", tokens), PromptPart("own", 100))
     call = CallDescription("sum", "model", prompt_parts=parts, prompt_tokens=tokens + 100, output_tokens=20)
@@ -292,8 +294,8 @@
     connected = next(backend.id for backend in BACKENDS[:4] if backend.id != home)
     selector.placement.has_idle_connection = lambda backend_id, now: backend_id == connected
     homes = Counter(serve_request(selector, call, 1.0 + step / 10) for step in range(1, 21))
-    assert (homes[home] == 20) is steered
-    assert steered or homes[connected] > 15
+    assert (homes[home] == 20) is stays
+    assert stays or homes[connected] > 15
 
 
 def test_a_small_prefix_stays_at_a_backend_with_an_idle_connection():
@@ -312,8 +314,13 @@
     assert len([backend_id for backend_id in chosen if backend_id.startswith("n")]) == 4
 
 
-@pytest.mark.parametrize("count, readers", [(1, 1), (2, 1), (3, 2), (4, 2), (5, 3), (12, 8), (18, 12)])
-def test_short_prompts_keep_two_backends_or_half_of_a_small_region(count, readers):
+@pytest.mark.parametrize(
+    "count, expected_backends", [(1, 1), (2, 1), (3, 2), (4, 2), (5, 3), (12, 8), (18, 12)]
+)
+def test_short_prompts_keep_two_backends_or_half_of_a_small_region(count, expected_backends):
     selector = make_selector(backends=[catalogue_entry(f"n{n}", "north-1") for n in range(count)])
     serve_request(selector, HOME_CALL, 0.5)
-    assert len({serve_request(selector, call_with_prefix(n), 1.0 + n / 100) for n in range(200)}) == readers
+    assert (
+        len({serve_request(selector, call_with_prefix(n), 1.0 + n / 100) for n in range(200)})
+        == expected_backends
+    )
--- a/tests/system/test_tenancy_data_plane.py
+++ b/tests/system/test_tenancy_data_plane.py
@@ -35,7 +35,7 @@
 
 def with_tenants(rig, entries=None):
     rig.plane.apply_control((2,), published() if entries is None else entries)
-    rig.plane.apply_catalogue((2,), catalogue(*(backend.listed for backend in rig.backends)))
+    rig.plane.apply_catalogue((2,), catalogue(*(backend.catalogue_entry for backend in rig.backends)))
     return rig
 
 
