--- a/src/nettledeal/dataplane/known_backends.py
+++ b/src/nettledeal/dataplane/known_backends.py
@@ -1,4 +1,4 @@
-"""The catalogue as this process holds it, with countdowns that run on from when each entry was received."""
+"""Decoded catalogue entries; warm-up countdowns continue from when each entry was received."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from nettledeal.common.logs import log_event
 from nettledeal.discovery.catalogue import Backend, decode_backend
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 class _ReceivedEntry(msgspec.Struct, frozen=True):
@@ -19,40 +19,40 @@
     received_at: float
 
     def as_of(self, now: float) -> Backend:
-        """The backend with what is left of its warm-up."""
+        """The backend with its remaining warm-up time."""
         if self.backend.warmup_left_ms <= 0:
             return self.backend
-        left_ms = self.backend.warmup_left_ms - MILLISECONDS * (now - self.received_at)
+        left_ms = self.backend.warmup_left_ms - MS_PER_S * (now - self.received_at)
         return msgspec.structs.replace(self.backend, warmup_left_ms=max(0.0, left_ms))
 
 
 class BackendChanges(msgspec.Struct, frozen=True):
-    """What differs in a new catalogue: backends that are new or otherwise than before, ids that are gone."""
+    """Differences of a new catalogue: new or changed backends, and removed ids."""
 
     changed: tuple[Backend, ...]
     removed: tuple[str, ...]
 
 
 class KnownBackends:
-    """Backends by id; only entries that have changed are read."""
+    """Backends by id; only changed entries are decoded."""
 
     def __init__(self) -> None:
         self._received: dict[str, _ReceivedEntry] = {}
 
     def update(self, entries: Mapping[str, bytes], now: float) -> list[Backend]:
-        """Take the whole catalogue and return its backends as of now."""
+        """Apply the whole catalogue and return its backends as of now."""
         received: dict[str, _ReceivedEntry] = {}
         for backend_id, value in entries.items():
             held = self._received.get(backend_id)
             if held is None or held.value != value:
-                held = _read(value, now)
+                held = _decode(value, now)
             if held is not None:
                 received[backend_id] = held
         self._received = received
         return self.as_of(now)
 
     def change(self, entries: Mapping[str, bytes], keys: Iterable[str], now: float) -> BackendChanges:
-        """Take a catalogue that differs from the one before in `keys` at most."""
+        """Apply a catalogue that differs from the previous one at most in `keys`."""
         changed: list[Backend] = []
         removed: list[str] = []
         for backend_id in keys:
@@ -60,7 +60,7 @@
             held = self._received.get(backend_id)
             if held is not None and held.value == value:
                 continue
-            entry = None if value is None else _read(value, now)
+            entry = None if value is None else _decode(value, now)
             if entry is not None:
                 self._received[backend_id] = entry
                 changed.append(entry.backend)
@@ -69,12 +69,12 @@
         return BackendChanges(tuple(changed), tuple(removed))
 
     def as_of(self, now: float) -> list[Backend]:
-        """All backends, with what is left of their warm-ups."""
+        """All backends with their remaining warm-up times."""
         return [entry.as_of(now) for entry in self._received.values()]
 
 
-def _read(value: bytes, now: float) -> _ReceivedEntry | None:
-    """None for an entry that cannot be read: the others still count."""
+def _decode(value: bytes, now: float) -> _ReceivedEntry | None:
+    """None for an unreadable entry, which doesn't affect the others."""
     try:
         return _ReceivedEntry(value, decode_backend(value), now)
     except ServingError as error:
