--- a/src/nettledeal/admin_orders.py
+++ b/src/nettledeal/admin_orders.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from nettledeal.net.protocol.orders import Order, Refused
+from nettledeal.net.protocol.admin_commands import AdminCommand, CommandRefused
 from nettledeal.net.routing.router import Router
 from nettledeal.net.transport.listener import Listener
 from nettledeal.siblings import Siblings
@@ -28,11 +28,11 @@
         self.router, self.listener, self.siblings, self.peers = router, listener, siblings, peers
         self.stopping = stopping
 
-    def carry_out(self, order: Order) -> str:
+    def carry_out(self, order: AdminCommand) -> str:
         """What is said of it; returns once it is in force, and raises `Refused` where it will not be."""
-        match order.word:
+        match order.name:
             case "health":
-                return "draining" if self.listener.quiet else "serving"
+                return "draining" if self.listener.quiesced else "serving"
             case "quiesce":
                 self.listener.quiesce()
                 return "draining"
@@ -41,33 +41,33 @@
             case "members":
                 return msgspec.json.encode(self._members().members()).decode()
             case "forget":
-                return self._forget(order.backend)
+                return self._forget(order.argument)
             case _:
-                return self._maintain(order.backend, out=order.word == "cordon")
+                return self._maintain(order.argument, out=order.name == "cordon")
 
     def _resume(self) -> str:
         if self.stopping():
-            raise Refused("the agent is ending")
+            raise CommandRefused("the agent is ending")
         self.listener.resume()
         return "serving"
 
     def _maintain(self, backend: str, out: bool) -> str:
         call = self.router.cordon if out else self.router.uncordon
         if not call(backend):
-            raise Refused("no such backend")
+            raise CommandRefused("no such backend")
         if self.peers is not None:
             self.peers.ordered(backend, out)
         # It is in force once it is in all processes that are this agent.
         if not self.siblings.confirm(backend, out):
-            raise Refused("in force in this process, not confirmed by the other one yet")
+            raise CommandRefused("in force in this process, not confirmed by the other one yet")
         return backend
 
     def _members(self) -> Peers:
         if self.peers is None:
-            raise Refused("this agent does not talk with others: the key membership is not set")
+            raise CommandRefused("this agent does not talk with others: the key membership is not set")
         return self.peers
 
     def _forget(self, name: str) -> str:
         if not self._members().forget(name):
-            raise Refused("no dead member of that name")
+            raise CommandRefused("no dead member of that name")
         return name
--- a/src/nettledeal/agent.py
+++ b/src/nettledeal/agent.py
@@ -26,16 +26,16 @@
 from nettledeal.configuration_files import ConfigError
 from nettledeal.handover import LEAVING
 from nettledeal.log_setup import configure_log
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 from nettledeal.net.clock import SECOND, Clock
 from nettledeal.net.counters import Counters
-from nettledeal.net.protocol.catalogue import Catalogue, CatalogueUpdate, Garbled
+from nettledeal.net.protocol.catalogue import Catalogue, CatalogueUpdate, MalformedCatalogue
 from nettledeal.net.routing.router import Router
 from nettledeal.net.transport.admin_server import AdminServer
-from nettledeal.net.transport.budget import Shares, shares
+from nettledeal.net.transport.backend_pools import BackendPools
+from nettledeal.net.transport.budget import ResourceBudgets, split_resources
 from nettledeal.net.transport.discovery_watch import DiscoveryWatch
 from nettledeal.net.transport.listener import Listener
-from nettledeal.net.transport.pools import Pools
 from nettledeal.policy.balancer import Balancer
 from nettledeal.reloading import put_in_force
 from nettledeal.siblings import Siblings
@@ -67,7 +67,7 @@
         self.siblings = Siblings(config, self.clock, self.counters, self._share)
         self.within = within = self._within(1)
         connect_within = config.setting("allowed.connect_timeout")
-        self.pools = Pools(
+        self.pools = BackendPools(
             self.clock,
             self.counters,
             within.backends,
@@ -87,8 +87,8 @@
             config.numbers("projects"),
             config.waits(),
             config.setting("allowed.max_open"),
-            probe_within=connect_within // 4,
-            reports=config.setting("feedback.via") != "silent",
+            probe_timeout=connect_within // 4,
+            request_reports=config.setting("feedback.via") != "silent",
             subscribe=self._subscribe,
         )
         self.siblings.attach(self.router)
@@ -98,9 +98,9 @@
             Random(config.seed + 1),
             self.counters,
             self.catalogue,
-            self.router.news,
-            self.router.lost,
-            self.known.base if self.known else None,
+            self.router.update_catalogue,
+            self.router.discovery_lost,
+            self.known.resume_version if self.known else None,
         )
         self.listener = self._listener(within)
         self.pools.crowded = lambda: self.listener.crowded
@@ -109,9 +109,9 @@
         self.peers = self._peers()
         self.admin_server = self._admin_server()
 
-    def _within(self, processes: int) -> Shares:
+    def _within(self, processes: int) -> ResourceBudgets:
         config = self.config
-        return shares(
+        return split_resources(
             config.sockets // processes,
             config.memory_mb // processes,
             config.admin is not None,
@@ -120,10 +120,10 @@
 
     def _share(self, processes: int) -> None:
         """So many processes are this agent from here on, and divide what it may hold."""
-        self.within.become(self._within(processes))
+        self.within.resize_to(self._within(processes))
         self.pools.trim()
 
-    def _listener(self, within: Shares) -> Listener:
+    def _listener(self, within: ResourceBudgets) -> Listener:
         for _ in range(int(BIND_WITHIN / 0.1) + 1):
             try:
                 return Listener(
@@ -132,15 +132,15 @@
                     self.counters,
                     within.clients,
                     within.requests,
-                    self.router.offer,
-                    self.router.gone,
-                    self.router.overdue,
+                    self.router.submit,
+                    self.router.client_left,
+                    self.router.answer_overdue,
                     self.config.longest,
                 )
             except OSError as fault:
                 why = fault.strerror
                 gevent.sleep(0.1)
-        raise ConfigError(f"listen: {written(self.config.listen)}: {why}")
+        raise ConfigError(f"listen: {format_address(self.config.listen)}: {why}")
 
     def _admin_server(self) -> AdminServer | None:
         if self.config.admin is None:
@@ -151,7 +151,7 @@
         try:
             return AdminServer(self.config.admin, self.counters, orders.carry_out)
         except OSError as fault:
-            raise ConfigError(f"admin_addr: {written(self.config.admin)}: {fault.strerror}") from None
+            raise ConfigError(f"admin_addr: {format_address(self.config.admin)}: {fault.strerror}") from None
 
     def _peers(self) -> Peers | None:
         config = self.config
@@ -177,13 +177,13 @@
     def _known(self) -> CatalogueUpdate | None:
         try:
             return self.catalogue.parse(self.config.known) if self.config.known else None
-        except Garbled as fault:
+        except MalformedCatalogue as fault:
             # The list itself comes in a moment.
             log.warning("known list garbled", why=str(fault))
             return None
 
     def run(self) -> None:
-        self.clock.attend()
+        self.clock.track_loop()
         self.router.start(self.known)
         self.known = None
         gevent.spawn(self.router.run)
@@ -216,11 +216,13 @@
         """Clients come for a while yet, and what has been taken is answered before the end."""
         self.siblings.meet()
         heir = self.siblings.handover.heir
-        log.info("stopping", open=len(self.router.open), heir=heir)
+        log.info("stopping", open=len(self.router.open_requests), heir=heir)
         self.siblings.handover.me.state = LEAVING
         if self.peers is not None:
             self.peers.end(heir)
-        end = self.clock.now() + int(max(self.router.intake.waits.values(), default=SECOND) + LINGER * SECOND)
+        end = self.clock.now() + int(
+            max(self.router.admission.default_timeouts.values(), default=SECOND) + LINGER * SECOND
+        )
         if heir:
             self._give_way(end)
         else:
@@ -246,7 +248,7 @@
     def _give_way(self, end: int) -> None:
         """To a successor that serves: connections end with their next answer, and those that rest late, as
         each that is ended just when its client asks costs a request its way."""
-        self.listener.give_way(self.siblings.handover.processes - 1)
+        self.listener.hand_over(self.siblings.handover.processes - 1)
         while self.listener.connections and self.clock.now() < end - RESTING * SECOND:
             gevent.sleep(0.02)
         self.listener.close_idle()
@@ -261,7 +263,7 @@
             except ConfigError as fault:
                 log.error("reload refused, the old configuration stays in force", why=str(fault))
             except Exception:
-                self.counters.fault("reload")
+                self.counters.record_exception("reload")
 
     def _reload(self) -> None:
         """The whole file is checked before anything is touched."""
--- a/src/nettledeal/cli.py
+++ b/src/nettledeal/cli.py
@@ -128,10 +128,10 @@
     """What an agent answers to a line at its admin port, without the word that it was done."""
     import socket
 
-    from nettledeal.net.address import parsed
+    from nettledeal.net.address import parse_address
 
     try:
-        with socket.create_connection(parsed(address), timeout=5.0) as sock:
+        with socket.create_connection(parse_address(address), timeout=5.0) as sock:
             sock.sendall(line.encode() + b"\n")
             sock.shutdown(socket.SHUT_WR)
             said = b"".join(iter(lambda: sock.recv(65536), b"")).decode(errors="replace")
--- a/src/nettledeal/configuration_files.py
+++ b/src/nettledeal/configuration_files.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from nettledeal.net.address import Address, parsed
+from nettledeal.net.address import Address, parse_address
 
 T = TypeVar("T")
 
@@ -31,6 +31,6 @@
 def address(key: str, text: str) -> Address:
     """A host and a port out of the text. Raises ConfigError naming the key."""
     try:
-        return parsed(text)
+        return parse_address(text)
     except ValueError as fault:
         raise ConfigError(f"{key}: {fault}") from None
--- a/src/nettledeal/dataplane/answer_relay.py
+++ b/src/nettledeal/dataplane/answer_relay.py
@@ -8,7 +8,7 @@
 from nettledeal.dataplane.answers import own_answer, relayed_head
 from nettledeal.dataplane.backend_answer import BackendAnswer
 from nettledeal.dataplane.event_stream import EventSplitter
-from nettledeal.net.protocol.bodies import LAST_CHUNK, chunk
+from nettledeal.net.protocol.bodies import LAST_CHUNK, encode_chunk
 
 
 class ClientLeft(Exception):
@@ -80,7 +80,7 @@
         self.begun = True
         parts: list[bytes | memoryview] = [head]
         while pieces := answer.read_pieces():
-            self.client.send(parts + (chunk(pieces) if chunked else pieces))
+            self.client.send(parts + (encode_chunk(pieces) if chunked else pieces))
             parts = []
         self.client.send(parts + ([LAST_CHUNK] if chunked else []))
 
@@ -94,11 +94,11 @@
         while pieces := answer.read_pieces():
             if passed := self._whole_events(pieces):
                 self.begun = True
-                self.client.send(parts + chunk(passed))
+                self.client.send(parts + encode_chunk(passed))
                 parts = []
         rest = self.events.take_partial() if self.events is not None else b""
         self.begun = True
-        self.client.send(parts + (chunk([rest]) if rest else []) + [LAST_CHUNK])
+        self.client.send(parts + (encode_chunk([rest]) if rest else []) + [LAST_CHUNK])
 
     def _whole_events(self, pieces: list[bytes]) -> list[bytes]:
         if self.events is None:
--- a/src/nettledeal/dataplane/backend_answer.py
+++ b/src/nettledeal/dataplane/backend_answer.py
@@ -9,7 +9,7 @@
 
 from nettledeal.dataplane.backend_connections import MAX_ANSWER_HEAD_BYTES, BackendConnection
 from nettledeal.net.protocol.bodies import BodyUntilClose
-from nettledeal.net.protocol.framing import Malformed, Message
+from nettledeal.net.protocol.framing import MalformedMessage, Message
 
 MOST_INTERIM = 8
 MOST_SURPLUS = 4
@@ -21,8 +21,9 @@
 class BackendAnswer:
     """Reads the answer to one request from a connection; answers to other requests are skipped.
 
-    All reading raises OSError where the connection breaks and Malformed where bytes form no answer. Where the
-    connection has a time-out, `still_there` is asked after each silence of that length whether to wait on.
+    All reading raises OSError where the connection breaks and MalformedMessage where bytes form no answer.
+    Where the connection has a time-out, `still_there` is asked after each silence of that length whether to
+    wait on.
     """
 
     def __init__(
@@ -91,7 +92,9 @@
     @property
     def is_gathered(self) -> bool:
         """Whether the body is small enough to be read whole before it goes on."""
-        return self.message.reader is None or (self.message.length or GATHERED_BYTES + 1) <= GATHERED_BYTES
+        return (
+            self.message.body_reader is None or (self.message.length or GATHERED_BYTES + 1) <= GATHERED_BYTES
+        )
 
     @property
     def length(self) -> int | None:
@@ -113,11 +116,11 @@
     def leaves_connection_usable(self) -> bool:
         """The answer is whole, nothing came behind it or before it, and the backend keeps the connection."""
         clean = self._whole and self._used == self.connection.inbox.filled and not self.surplus
-        return clean and self.message.keeps and not isinstance(self.message.reader, BodyUntilClose)
+        return clean and self.message.keep_alive and not isinstance(self.message.body_reader, BodyUntilClose)
 
     def head_fields(self) -> bytes:
         """The lines of the head that are for the client."""
-        return self.message.passed_on()
+        return self.message.end_to_end_headers()
 
     def read_body(self) -> memoryview | bytes:
         """The whole body."""
@@ -137,7 +140,7 @@
         """Read on in the body; one without a length is whole once its connection ends in order."""
         if self._receive():
             self._look()
-        elif self.message.ended():
+        elif self.message.finish_at_eof():
             self._whole = True
         else:
             raise ConnectionResetError("the answer broke off")
@@ -146,7 +149,9 @@
         """The number of bytes that came, 0 at the end of the connection."""
         while True:
             try:
-                read = self.connection.inbox.read(self.connection.sock, self.message.whole, self.message.kept)
+                read = self.connection.inbox.read(
+                    self.connection.sock, self.message.total_bytes, self.message.retained_bytes
+                )
                 self.heard()
                 return read
             except TimeoutError:
@@ -155,26 +160,26 @@
 
     def _take_pieces(self) -> list[bytes]:
         message = self.message
-        if message.reader is None:
+        if message.body_reader is None:
             if not self._whole or self._taken:
                 return []
             self._taken = 1
             return [bytes(message.body)] if len(message.body) else []
-        pieces = list(message.pieces)
-        message.pieces.clear()
+        pieces = list(message.body_pieces)
+        message.body_pieces.clear()
         return pieces
 
     def _message(self) -> Message:
         return Message(
             httptools.HttpResponseParser,
             MAX_ANSWER_BYTES,
-            bare=self.bodiless,
-            most_head=MAX_ANSWER_HEAD_BYTES,
+            bodiless=self.bodiless,
+            max_head_bytes=MAX_ANSWER_HEAD_BYTES,
         )
 
     def _look(self) -> None:
         inbox = self.connection.inbox
-        used = self.message.look(inbox.buffer, inbox.filled)
+        used = self.message.parse(inbox.buffer, inbox.filled)
         if used is not None:
             self._used = used
             self._whole = True
@@ -184,27 +189,27 @@
         for _ in range(MOST_INTERIM):
             if inbox.filled:
                 self._look()
-            while not self.message.head:
+            while not self.message.head_bytes:
                 if not self._receive():
                     raise ConnectionResetError("no answer")
                 self._look()
             if self.message.status >= HTTPStatus.OK:
                 return
-            self._next_message(self.message.head)
-        raise Malformed(HTTPStatus.BAD_GATEWAY, "interim answers without end")
+            self._next_message(self.message.head_bytes)
+        raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "interim answers without end")
 
     def _skip_surplus(self) -> None:
         """Read past an answer that belongs to another request."""
         self.surplus += 1
         if self.surplus > MOST_SURPLUS or b"request-id" not in self.message.headers:
-            raise Malformed(HTTPStatus.BAD_GATEWAY, "no answer to this request")
+            raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "no answer to this request")
         self._check_framing()
         while not self._whole:
             self.read_pieces()
         self._next_message(self._used)
 
     def _next_message(self, used: int) -> None:
-        self.connection.inbox.next(used)
+        self.connection.inbox.start_next_message(used)
         self.message = self._message()
         self._whole = False
         self._taken = 0
@@ -212,7 +217,7 @@
 
     def _check_framing(self) -> None:
         message = self.message
-        says_so = message.dated or b"close" in message.connection
-        if isinstance(message.reader, BodyUntilClose) and not says_so:
+        says_so = message.is_http_1_0 or b"close" in message.connection_options
+        if isinstance(message.body_reader, BodyUntilClose) and not says_so:
             # Without a word of it, one that ends with its connection may as well never end.
-            raise Malformed(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
+            raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
--- a/src/nettledeal/dataplane/backend_connections.py
+++ b/src/nettledeal/dataplane/backend_connections.py
@@ -17,7 +17,7 @@
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.dataplane.idle_limit import LearnedIdleLimit
 from nettledeal.net.transport.buffers import MemoryPool, ReadBuffer
-from nettledeal.net.transport.sockets import abandon, peek
+from nettledeal.net.transport.sockets import peek_byte, reset_connection
 
 # How long a connection may take to come up, by what the last one to that backend took: one whose first packet
 # was lost or whose backend has gone dark comes much later or never.
@@ -68,7 +68,7 @@
         """End the connection; a request that it carries is dropped by most backends."""
         if not self.closed:
             self.closed = True
-            abandon(self.sock)
+            reset_connection(self.sock)
             self.pool.ended()
 
     def broke(self, error: Exception, now: float) -> None:
@@ -85,7 +85,7 @@
     def reusable(self, now: float, most_idle_s: float = MOST_IDLE_S) -> bool:
         """Whether the backend surely still has it open and has sent nothing."""
         rested = self.rested(now) or now - self.idle_since >= most_idle_s
-        return not rested and peek(self.sock) is None
+        return not rested and peek_byte(self.sock) is None
 
 
 class ConnectionsPart:
@@ -177,14 +177,14 @@
             sock.connect(self.address)
             sock.settimeout(None)
         except OSError as error:
-            abandon(sock)
+            reset_connection(sock)
             if isinstance(error, TimeoutError):
                 self._expect_connect(2 * self.connect_timeout_s)
             raise ServingError(
                 ErrorCode.CONNECTION_LOST, "connect to backend", str(error), str(self.address)
             ) from None
         except BaseException:
-            abandon(sock)
+            reset_connection(sock)
             raise
         self._expect_connect(CONNECT_TIMEOUT_FACTOR * (time.monotonic() - began_at))
         return sock
@@ -198,7 +198,7 @@
             connection.close()
             return
         connection.sock.settimeout(None)
-        connection.inbox.put(b"")
+        connection.inbox.replace_contents(b"")
         connection.idle_since = now
         self.idle.append(connection)
 
--- a/src/nettledeal/dataplane/client_request.py
+++ b/src/nettledeal/dataplane/client_request.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from nettledeal.net.protocol.framing import Malformed, Message
+from nettledeal.net.protocol.framing import MalformedMessage, Message
 
 if TYPE_CHECKING:
     from nettledeal.tenancy.prompts import SeparatedPrompt
@@ -27,26 +27,26 @@
     """One request; its parts are valid once `read` has said that it is whole."""
 
     def __init__(self, max_header_bytes: int, max_body_bytes: int):
-        self.message = Message(httptools.HttpRequestParser, max_body_bytes, most_head=max_header_bytes)
+        self.message = Message(httptools.HttpRequestParser, max_body_bytes, max_head_bytes=max_header_bytes)
         self.received_at = 0.0
         self.continued = False
         self.separated: SeparatedPrompt | None = None  # of a tenant's request, once that is admitted
         self.rewrites_prompt = False
 
     def read(self, buffer: bytearray, filled: int) -> int | None:
-        """The bytes that the request takes, None while it is not whole. Raises Malformed."""
-        return self.message.look(buffer, filled)
+        """The bytes that the request takes, None while it is not whole. Raises MalformedMessage."""
+        return self.message.parse(buffer, filled)
 
     def check(self) -> None:
-        """Raises Malformed where a backend could not be given this request as it is."""
+        """Raises MalformedMessage where a backend could not be given this request as it is."""
         if not self.path.startswith(b"/"):
-            raise Malformed(HTTPStatus.BAD_REQUEST, "the target is no path")
+            raise MalformedMessage(HTTPStatus.BAD_REQUEST, "the target is no path")
         if self.method in (b"CONNECT", b"TRACE"):
-            raise Malformed(HTTPStatus.NOT_IMPLEMENTED, "the method is not passed on")
+            raise MalformedMessage(HTTPStatus.NOT_IMPLEMENTED, "the method is not passed on")
         if not self.request_id:
-            raise Malformed(HTTPStatus.BAD_REQUEST, "Request-Id is missing")
-        if self.message.dated:
-            raise Malformed(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 only")
+            raise MalformedMessage(HTTPStatus.BAD_REQUEST, "Request-Id is missing")
+        if self.message.is_http_1_0:
+            raise MalformedMessage(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 only")
 
     def header(self, name: bytes) -> bytes:
         """The value of a header by its name in lower case; empty when it is missing."""
@@ -56,7 +56,7 @@
         """How many headers have that name, in lower case."""
         if name not in self.message.headers:
             return 0
-        return sum(field.lower() == name for field, _ in self.message.fields)
+        return sum(field.lower() == name for field, _ in self.message.raw_headers)
 
     @property
     def method(self) -> bytes:
@@ -81,12 +81,12 @@
     @property
     def expects_continue(self) -> bool:
         """The client sends the body only after an interim answer."""
-        return self.message.head > 0 and self.header(b"expect").lower() == b"100-continue"
+        return self.message.head_bytes > 0 and self.header(b"expect").lower() == b"100-continue"
 
     @property
     def keeps_connection(self) -> bool:
         """Whether the client would send another request on this connection."""
-        return self.message.keeps
+        return self.message.keep_alive
 
     def deadline_s(self, route_timeout_s: float) -> float:
         """How long the client waits, in seconds from its request, bounded by the route's timeout."""
@@ -110,7 +110,7 @@
             replaced += (_PROMPT_PREFIX,) if self.rewrites_prompt else ()
         lines = [
             b"%b %b HTTP/1.1\r\n" % (message.method, message.url),
-            message.passed_on(*replaced),
+            message.end_to_end_headers(*replaced),
             b"Deadline-Ms: %d\r\nExpect-Instance: %b\r\nPriority: %d\r\n"
             % (max(1, int(left_s * MILLISECONDS)), instance.encode("latin-1"), priority),
         ]
--- a/src/nettledeal/dataplane/forwarding.py
+++ b/src/nettledeal/dataplane/forwarding.py
@@ -34,7 +34,7 @@
 from nettledeal.dataplane.server_load import LOAD_HEADER, read_server_load
 from nettledeal.dataplane.silence import SilenceCheck
 from nettledeal.dataplane.stream_pauses import StreamPauses
-from nettledeal.net.protocol.framing import Malformed
+from nettledeal.net.protocol.framing import MalformedMessage
 from nettledeal.net.transport.buffers import OutOfMemory
 from nettledeal.net.transport.sockets import send_all
 
@@ -192,7 +192,7 @@
         except ClientLeft:
             outcome = AttemptOutcome.CANCELLED
             raise
-        except (OSError, Malformed, OutOfMemory) as error:
+        except (OSError, MalformedMessage, OutOfMemory) as error:
             if self.client_left:
                 outcome = AttemptOutcome.CANCELLED
                 raise ClientLeft from None
--- a/src/nettledeal/dataplane/ingress.py
+++ b/src/nettledeal/dataplane/ingress.py
@@ -20,10 +20,10 @@
 from nettledeal.dataplane.client_request import LONGEST_DEADLINE_S, ClientRequest
 from nettledeal.dataplane.forwarding import Forwarding
 from nettledeal.dataplane.routing_table import RouteTarget, RoutingTable
-from nettledeal.net.protocol.framing import Malformed
+from nettledeal.net.protocol.framing import MalformedMessage
 from nettledeal.net.transport.buffers import MemoryPool, OutOfMemory, ReadBuffer
-from nettledeal.net.transport.hang_ups import HangUps
-from nettledeal.net.transport.sockets import hung_up, peek, send_all
+from nettledeal.net.transport.peer_close_watcher import PeerCloseWatcher
+from nettledeal.net.transport.sockets import peek_byte, peer_closed, send_all
 from nettledeal.operator_api.configuration import ClientLimits
 
 MILLISECONDS = 1000.0
@@ -72,7 +72,7 @@
         self.has_catalogue = False
         self.started_at = time.monotonic()
         self.last_arrival_at = 0.0
-        self.hang_ups = HangUps()
+        self.hang_ups = PeerCloseWatcher()
         self._became_able = Event()
         self._listener: socket.socket | None = None
         self._accepting: gevent.Greenlet | None = None
@@ -209,7 +209,7 @@
         return True
 
     def _readable(self) -> None:
-        seen = peek(self.sock)
+        seen = peek_byte(self.sock)
         if seen is None:
             return
         self._watcher.stop()
@@ -237,7 +237,7 @@
             return self._read_request(self.ingress.limits)
         except TimeoutError:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
-        except Malformed as error:
+        except MalformedMessage as error:
             self._reject(error.status)
         except OutOfMemory:
             self._reject(HTTPStatus.SERVICE_UNAVAILABLE, MEMORY_RETRY_S)
@@ -245,7 +245,7 @@
 
     def _read_request(self, limits: RequestLimits) -> ClientRequest | None:
         inbox = self.inbox
-        inbox.most = limits.header_bytes + limits.body_bytes + len(inbox.buffer)
+        inbox.max_bytes = limits.header_bytes + limits.body_bytes + len(inbox.buffer)
         request = ClientRequest(limits.header_bytes, limits.body_bytes)
         request.received_at = time.monotonic()
         self.sock.settimeout(limits.header_timeout_s)
@@ -253,11 +253,11 @@
         while used is None:
             if request.expects_continue:
                 self._continue_once(request)
-            if not inbox.read(self.sock, request.message.whole, request.message.kept):
+            if not inbox.read(self.sock, request.message.total_bytes, request.message.retained_bytes):
                 return None
             used = request.read(inbox.buffer, inbox.filled)
         request.check()
-        inbox.next(used)
+        inbox.start_next_message(used)
         return request
 
     def _wait_for_request(self) -> bool:
@@ -285,7 +285,7 @@
         self.closing = self.closing or self.ingress.draining or not request.keeps_connection
         waited = self.pipelined or not self.ingress.able
         able = self.ingress.await_able(self._patience_s(request))
-        if waited and hung_up(self.sock):
+        if waited and peer_closed(self.sock):
             raise ClientLeft
         table = self.ingress.table
         if not table.configured:
--- a/src/nettledeal/fleet/backends.py
+++ b/src/nettledeal/fleet/backends.py
@@ -18,7 +18,7 @@
 from nettledeal.fleet.http import Heard, requests, written
 from nettledeal.fleet.server import FULL, Server
 from nettledeal.fleet.wires import Post, accepting, now
-from nettledeal.net.transport.sockets import abandon, bound, wait_for
+from nettledeal.net.transport.sockets import listening_socket, reset_connection, wait_readable
 
 TURNED_AWAY = written("503 Full", more="X-Not-Processed: 1\r\n")
 
@@ -53,7 +53,7 @@
         )
 
     def _listen(self) -> None:
-        self.sock = bound(self.place)
+        self.sock = listening_socket(self.place)
         gevent.spawn(accepting, self.sock, self._serve)
 
     def _note(self, what: str, id: bytes = b"") -> None:
@@ -65,7 +65,7 @@
             self.sock.close()
             self.sock = None
         for peer in list(self.peers):
-            abandon(peer)  # a reset, as a dead process leaves it
+            reset_connection(peer)  # a reset, as a dead process leaves it
         self.peers.clear()
         self._note("died")
         self.life += 1
@@ -130,7 +130,7 @@
         self.ends[key] = end
         self._show()
         self._begin(server)
-        wait_for(end, peer, None)
+        wait_readable(end, peer, None)
         if self.ends.get(key) is end:
             # Not done yet, so the connection has woken it, and nothing but an end comes on one at work.
             del self.ends[key]
--- a/src/nettledeal/fleet/clients.py
+++ b/src/nettledeal/fleet/clients.py
@@ -17,8 +17,8 @@
 
 from nettledeal.fleet.http import answer
 from nettledeal.fleet.wires import Post, now
-from nettledeal.net.protocol.reports import report
-from nettledeal.net.transport.sockets import peek, smooth
+from nettledeal.net.protocol.load_report import parse_load_report
+from nettledeal.net.transport.sockets import disable_nagle, peek_byte
 
 SLACK = 500  # a client asks on for a moment after its expiry, as the rule on answers is judged with one
 # It reads on for so long after that, so that an answer which comes late is told from none.
@@ -36,7 +36,7 @@
         """Status, body and load report; status 0 where none came by then and `patience`, -1 where nothing was
         sent."""
         # One whose other end died or closed while it rested is seen to have ended, as usual clients see it.
-        while self.resting and peek(self.resting[-1]) is not None:
+        while self.resting and peek_byte(self.resting[-1]) is not None:
             self.resting.pop().close()
         fresh = not self.resting
         sock = socket.socket() if fresh else self.resting.pop()
@@ -44,7 +44,7 @@
             sock.settimeout(max(0.001, (by + patience - now()) / 10_000))
             if fresh:
                 sock.connect(self.place)
-                smooth(sock)
+                disable_nagle(sock)
             sock.sendall(message)
         except OSError:
             sock.close()
@@ -124,7 +124,7 @@
             self.out[agent][n] += 1
             status, body, load = self.pools[n].ask(message, by)
             self.out[agent][n] -= 1
-            told = report(load)
+            told = parse_load_report(load)
             if "outstanding" in told:
                 self.heard[agent][n] = told["outstanding"]
             if status not in (503, -1):
--- a/src/nettledeal/fleet/roster.py
+++ b/src/nettledeal/fleet/roster.py
@@ -14,7 +14,7 @@
 
 from nettledeal.fleet.http import requests, written
 from nettledeal.fleet.wires import Post, accepting, now
-from nettledeal.net.transport.sockets import bound
+from nettledeal.net.transport.sockets import listening_socket
 
 ALIVE = 2.0  # seconds between two lines of a watch on which nothing changes
 
@@ -27,7 +27,7 @@
         self.version = roster.version
         self.extra, self.deaf = 0.0, False
         self.news = Event()
-        gevent.spawn(accepting, bound(place), self._serve)
+        gevent.spawn(accepting, listening_socket(place), self._serve)
 
     def learn(self, version: int, lag: float) -> None:
         gevent.spawn_later(lag + self.extra, self._learned, version)
--- a/src/nettledeal/fleet/switch.py
+++ b/src/nettledeal/fleet/switch.py
@@ -17,7 +17,7 @@
 
 from nettledeal.fleet.links import Condition, Way
 from nettledeal.fleet.wires import Post, accepting, now
-from nettledeal.net.transport.sockets import bound, smooth
+from nettledeal.net.transport.sockets import disable_nagle, listening_socket
 
 # Bytes of one direction that may wait in the switch; more stay with the sender, as in a full buffer.
 MOST = 1 << 20
@@ -82,7 +82,7 @@
     def __init__(self, place: tuple[str, int], target: tuple[str, int], chance: Random):
         self.place, self.target = place, target
         self.ways = {THERE: Way(chance), BACK: Way(chance)}
-        self.sock = bound(place)
+        self.sock = listening_socket(place)
         self.taking = gevent.spawn(accepting, self.sock, self._carry)
         self.plugs: list[socket.socket] = []
 
@@ -115,7 +115,7 @@
     """One connection, from its accept to its end."""
     broken = AsyncResult()  # by which way the word of it has to go
     far = socket.socket()
-    smooth(far)
+    disable_nagle(far)
     try:
         # The connection itself comes up, as the switch accepted it: what follows goes by the link.
         far.connect(target)
@@ -155,7 +155,7 @@
         self.fronts[member], self.places[member], self.members[place] = sock, place, member
         self.hosts[place[0]] = member
         gevent.spawn(self._carry, member, sock)
-        gevent.spawn(accepting, bound(front), lambda near, peer: self._stream(member, near, peer))
+        gevent.spawn(accepting, listening_socket(front), lambda near, peer: self._stream(member, near, peer))
 
     def become(self, source: int, target: int, condition: Condition) -> None:
         for ways in (self.ways, self.streams):
--- a/src/nettledeal/fleet/wires.py
+++ b/src/nettledeal/fleet/wires.py
@@ -18,7 +18,7 @@
 from gevent.fileobject import FileObject
 
 from nettledeal.model import Time
-from nettledeal.net.transport.sockets import smooth
+from nettledeal.net.transport.sockets import disable_nagle
 
 
 def now() -> Time:
@@ -73,5 +73,5 @@
             print(f"accept: {fault.strerror}", file=sys.stderr, flush=True)
             gevent.sleep(0.1)
             continue
-        smooth(peer)
+        disable_nagle(peer)
         gevent.spawn(serve, peer, address)
--- a/src/nettledeal/membership/__main__.py
+++ b/src/nettledeal/membership/__main__.py
@@ -22,7 +22,7 @@
 from nettledeal.membership.host import Host, spoken
 from nettledeal.membership.member import Member
 from nettledeal.membership.steps import Changed, Ordered, Send, Timing, Usurped
-from nettledeal.net.address import parsed
+from nettledeal.net.address import parse_address
 from nettledeal.net.clock import SECOND, Clock
 
 
@@ -82,12 +82,12 @@
     told = msgspec.json.decode(lines.readline(), type=Told)
     clock, counts = Clock(), Counter()
     clock.offset += int(told.ahead * 1e9)
-    listen = parsed(told.listen)
+    listen = parse_address(told.listen)
     member = Member(
         told.name,
-        parsed(told.advertise or told.listen),
+        parse_address(told.advertise or told.listen),
         told.cluster,
-        map(parsed, told.seeds),
+        map(parse_address, told.seeds),
         Timing(**told.timing),
         Random(told.seed),
         clock.now(),
--- a/src/nettledeal/membership/host.py
+++ b/src/nettledeal/membership/host.py
@@ -22,9 +22,9 @@
 from nettledeal.membership.packets import MOST_DATAGRAM, MOST_STREAM, Packet, Refusal
 from nettledeal.membership.steps import SECOND, Act, Call, Changed, Send, Step, Usurped
 from nettledeal.membership.view import Metadata, State, Word
-from nettledeal.net.address import Address, written
-from nettledeal.net.transport.budget import STREAMS
-from nettledeal.net.transport.sockets import bound, smooth
+from nettledeal.net.address import Address, format_address
+from nettledeal.net.transport.budget import MAX_MEMBERSHIP_STREAMS
+from nettledeal.net.transport.sockets import disable_nagle, listening_socket
 from nettledeal.units import Time
 
 # A stream is over by then, whoever is slow.
@@ -47,7 +47,7 @@
         told: Callable[[Act], None],
         count: Callable[[str], None],
         log: Any,
-        streams: int = STREAMS,
+        streams: int = MAX_MEMBERSHIP_STREAMS,
     ):
         """`told` gets what changes, as `Changed`, `Ordered` and `Usurped`; `count` a name for what was
         counted; `log` takes an event and its fields at levels, as structlog's loggers do; `streams` is the
@@ -100,7 +100,7 @@
         while not self._bind():
             gevent.sleep(AGAIN)
         member = self.member
-        self.log.info("member", name=member.name, listen=written(self.listen), cluster=member.cluster)
+        self.log.info("member", name=member.name, listen=format_address(self.listen), cluster=member.cluster)
         self._do(self.member.start(self.clock()))
         self.jobs += [gevent.spawn(self._hear), gevent.spawn(self._accept)]
         while True:
@@ -119,13 +119,13 @@
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
             sock.bind(self.listen)
-            self.streams = bound(self.listen)
+            self.streams = listening_socket(self.listen)
             self.datagrams = sock
             return True
         except OSError as fault:
             sock.close()
             if fault.errno != errno.EADDRINUSE:
-                self.log.error("member cannot listen", listen=written(self.listen), why=fault.strerror)
+                self.log.error("member cannot listen", listen=format_address(self.listen), why=fault.strerror)
                 gevent.sleep(1.0)
             return False
 
@@ -162,7 +162,7 @@
             self.count(f"member: {why}")
             if str(why) not in self.refused:
                 self.refused.add(str(why))
-                self.log.warning("message to the member refused", why=str(why), source=written(source))
+                self.log.warning("message to the member refused", why=str(why), source=format_address(source))
             return None
 
     def _accept(self) -> None:
@@ -233,7 +233,7 @@
                 if isinstance(act, Changed):
                     self._say(act.word, act.before)
                 elif isinstance(act, Usurped):
-                    at = written(act.word.address)
+                    at = format_address(act.word.address)
                     self.log.error("another process bears this name; this one is silent", at=at)
                 self.told(act)
         if step.wake != self.wake:
@@ -256,7 +256,7 @@
                 # From the address that others know it by.
                 sock.bind((self.listen[0], 0))
                 sock.connect(act.address)
-                smooth(sock)
+                disable_nagle(sock)
                 self._put(sock, act.packet)
                 packet = self._whole(sock, act.address)
         except ConnectionRefusedError:
@@ -275,7 +275,7 @@
         say(
             "member changed",
             member=word.name,
-            at=written(word.address),
+            at=format_address(word.address),
             state=spoken(word.state),
             before=None if before is None else spoken(before),
             by=word.by,
--- a/src/nettledeal/net/address.py
+++ b/src/nettledeal/net/address.py
@@ -5,12 +5,12 @@
 Address = tuple[str, int]
 
 
-def parsed(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{text!r} is no host:port")
     return host.strip("[]"), int(port)
 
 
-def written(address: Address) -> str:
+def format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/src/nettledeal/net/counters.py
+++ b/src/nettledeal/net/counters.py
@@ -10,12 +10,12 @@
 
 
 class Counters(Counter[str]):
-    def must(self, held: bool, what: str) -> None:
-        assert held, what
-        if not held:
-            self[f"broken: {what}"] += 1
+    def check_invariant(self, holds: bool, invariant: str) -> None:
+        assert holds, invariant
+        if not holds:
+            self[f"broken: {invariant}"] += 1
 
-    def fault(self, where: str) -> None:
+    def record_exception(self, where: str) -> None:
         """An exception that was not to be and has been caught, so that it costs no more than it must."""
         self["faults"] += 1
         log.exception("fault", where=where)
--- a/src/nettledeal/net/protocol/backend.py
+++ b/src/nettledeal/net/protocol/backend.py
@@ -10,15 +10,21 @@
 import httptools
 
 from nettledeal.model import Outcome, Report, Time
-from nettledeal.net.protocol.bodies import BodyUntilClose, chunk
+from nettledeal.net.protocol.bodies import BodyUntilClose, encode_chunk
 from nettledeal.net.protocol.client import ClientRequest
-from nettledeal.net.protocol.framing import MOST_BODY, Malformed, Message, MessageReader, Unread
-from nettledeal.net.protocol.reports import report
+from nettledeal.net.protocol.framing import (
+    MAX_BUFFERED_BODY_BYTES,
+    MalformedMessage,
+    Message,
+    MessageReader,
+    UnparsableHead,
+)
+from nettledeal.net.protocol.load_report import parse_load_report
 
 # Answers ahead of the answer, each with a head of its own.
-MOST_INTERIM = 8
-_REPORT = re.compile(rb"(\r\nx-server-load:)[^\n]*", re.IGNORECASE)
-_TURNED_AWAY = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+MAX_INTERIM_RESPONSES = 8
+_LOAD_REPORT_LINE = re.compile(rb"(\r\nx-server-load:)[^\n]*", re.IGNORECASE)
+_REFUSAL_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
 @dataclass(slots=True)
@@ -27,128 +33,134 @@
 
     outcome: Outcome
     body: memoryview | bytes = b""
-    lines: bytes = b""  # of its head, for the client
+    headers: bytes = b""  # of its head, for the client
     report: Report | None = None
-    took: Time = 0
-    rest: Rest | None = None  # of a long body, as it comes
+    duration: Time = 0
+    body_stream: BodyStream | None = None  # of a long body, as it comes
 
 
-class Rest(Protocol):
+class BodyStream(Protocol):
     """What is still to come of a body; whoever pulls last ends it."""
 
     length: int | None
 
     def pull(self) -> list[memoryview | bytes]: ...
 
-    def end(self, whole: bool) -> None: ...
+    def finish(self, is_complete: bool) -> None: ...
 
 
 class ResponseReader(MessageReader):
     """One answer of a backend, out of the buffer that it is read into."""
 
-    def __init__(self, most_body: int = MOST_BODY, bare: bool = False) -> None:
-        self.most_body = most_body
-        self.bare = bare
-        self.message = self._message(0)
-        self.interim = 0
-        self.cleared = False
+    def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES, bodiless: bool = False) -> None:
+        self.max_body_bytes = max_body_bytes
+        self.bodiless = bodiless
+        self.message = self._new_message(0)
+        self.interim_responses = 0
+        self.report_blanked = False
 
-    def _message(self, start: int) -> Message:
-        return Message(httptools.HttpResponseParser, self.most_body, start, self.bare)
+    def _new_message(self, start: int) -> Message:
+        return Message(httptools.HttpResponseParser, self.max_body_bytes, start, self.bodiless)
 
-    def look(self, buffer: bytearray, filled: int) -> int | None:
+    def parse(self, buffer: bytearray, filled: int) -> int | None:
         while True:
             try:
-                used = self.message.look(buffer, filled)
-            except Unread as fault:
-                self._without_report(buffer, fault)
+                used = self.message.parse(buffer, filled)
+            except UnparsableHead as error:
+                self._blank_report(buffer, error)
                 continue
             message = self.message
-            if not message.head:
+            if not message.head_bytes:
                 return used
             status = message.status
             if 101 < status < 200 or status == 100:
-                self.interim += 1
-                if self.interim > MOST_INTERIM:
-                    raise Malformed(HTTPStatus.BAD_GATEWAY, "interim answers without end")
-                self.message = self._message(message.head)
+                self.interim_responses += 1
+                if self.interim_responses > MAX_INTERIM_RESPONSES:
+                    raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "interim answers without end")
+                self.message = self._new_message(message.head_bytes)
                 continue
-            if status < 200 or isinstance(message.reader, BodyUntilClose) and not self._says_so():
+            if (
+                status < 200
+                or isinstance(message.body_reader, BodyUntilClose)
+                and not self._announces_close()
+            ):
                 # Without a word of it, one that ends with its connection may as well never end.
-                raise Malformed(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
+                raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
             return used
 
-    def _without_report(self, buffer: bytearray, fault: Unread) -> None:
+    def _blank_report(self, buffer: bytearray, error: UnparsableHead) -> None:
         """A report that breaks its head costs only itself: read once more with the report's line blanked."""
         start = self.message.start
-        found = None if self.cleared else _REPORT.search(buffer, start, fault.end)
-        if found is None:
-            raise fault
-        self.cleared = True
-        buffer[found.end(1) : found.end() - 1] = b" " * (found.end() - 1 - found.end(1))
-        self.message = self._message(start)
+        match = None if self.report_blanked else _LOAD_REPORT_LINE.search(buffer, start, error.head_end)
+        if match is None:
+            raise error
+        self.report_blanked = True
+        buffer[match.end(1) : match.end() - 1] = b" " * (match.end() - 1 - match.end(1))
+        self.message = self._new_message(start)
 
-    def _says_so(self) -> bool:
-        return self.message.dated or b"close" in self.message.connection
+    def _announces_close(self) -> bool:
+        return self.message.is_http_1_0 or b"close" in self.message.connection_options
 
-    def ended(self) -> bool:
-        return self.message.ended()
+    def finish_at_eof(self) -> bool:
+        return self.message.finish_at_eof()
 
     @property
-    def comes(self) -> bool:
+    def may_be_long(self) -> bool:
         """Good, and its length not known yet: it may be long."""
-        return self.message.status == HTTPStatus.OK and self.message.reader is not None
+        return self.message.status == HTTPStatus.OK and self.message.body_reader is not None
 
     @property
-    def long(self) -> bool:
-        return self.message.long
+    def is_long(self) -> bool:
+        return self.message.is_long
 
     def reply(self) -> Reply:
-        found = self._read()
-        if found.outcome is Outcome.FINISHED:
-            found.lines = self.message.passed_on(b"x-server-load", b"x-not-processed", b"retry-after")
-            if self.bare and self.message.length is not None:
+        reply = self._build_reply()
+        if reply.outcome is Outcome.FINISHED:
+            reply.headers = self.message.end_to_end_headers(
+                b"x-server-load", b"x-not-processed", b"retry-after"
+            )
+            if self.bodiless and self.message.length is not None:
                 # What a body would have, which is not to come.
-                found.lines += b"Content-Length: %b\r\n" % self.message.headers.get(b"content-length", b"0")
-        return found
+                reply.headers += b"Content-Length: %b\r\n" % self.message.headers.get(b"content-length", b"0")
+        return reply
 
-    def probed(self) -> Reply:
-        found = self._read()
-        if not found.report and found.outcome is Outcome.FINISHED:
-            found.report = report(found.body)
-        return found
+    def probe_reply(self) -> Reply:
+        reply = self._build_reply()
+        if not reply.report and reply.outcome is Outcome.FINISHED:
+            reply.report = parse_load_report(reply.body)
+        return reply
 
-    def _read(self) -> Reply:
+    def _build_reply(self) -> Reply:
         message = self.message
         status = message.status
         outcome = Outcome.ERROR
         if status == HTTPStatus.OK:
             outcome = Outcome.FINISHED
-        elif status in _TURNED_AWAY and message.headers.get(b"x-not-processed") == b"1":
+        elif status in _REFUSAL_STATUSES and message.headers.get(b"x-not-processed") == b"1":
             # Without the mark it may have run, whatever the status says.
             outcome = Outcome.FULL
-        return Reply(outcome, message.body, report=report(message.headers.get(b"x-server-load")))
+        return Reply(outcome, message.body, report=parse_load_report(message.headers.get(b"x-server-load")))
 
 
-def hand_off(request: ClientRequest, time_out: Time) -> list[bytes | memoryview]:
+def encode_hand_off(request: ClientRequest, timeout: Time) -> list[bytes | memoryview]:
     """A hand-off: its head, and the body as it came, or what has come of it so far."""
     head = b"%b %b HTTP/1.1\r\n%bX-Timeout-Ms: %d\r\n" % (
         request.method,
         request.target,
-        request.head,
-        max(1, time_out // 10),
+        request.forwarded_headers,
+        max(1, timeout // 10),
     )
     body, length = [request.body], len(request.body)
     if request.upload is not None:
         length = request.upload.length
         if length is None:
             head += b"Transfer-Encoding: chunked\r\n"
-            body = chunk(body)
+            body = encode_chunk(body)
     if length or length == 0 and request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
         head += b"Content-Length: %d\r\n" % length
     return [head + b"\r\n", *body]
 
 
-def probe(host: str, reports: bool) -> bytes:
-    path = "/_load" if reports else "/ping"
+def encode_probe(host: str, request_report: bool) -> bytes:
+    path = "/_load" if request_report else "/ping"
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode("ascii")
--- a/src/nettledeal/net/protocol/bodies.py
+++ b/src/nettledeal/net/protocol/bodies.py
@@ -10,17 +10,17 @@
 from http import HTTPStatus
 
 # A chunk's size with its extensions, a line of a trailer; and all lines of a trailer.
-MOST_LINE = 1024
-MOST_TRAILER = 16 * 1024
-_SIZE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?\Z")
-_TRAILER = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\x00-\x08\x0a-\x1f\x7f]*\Z")
+MAX_LINE_BYTES = 1024
+MAX_TRAILER_BYTES = 16 * 1024
+_CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?\Z")
+_TRAILER_LINE = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\x00-\x08\x0a-\x1f\x7f]*\Z")
 
 
-class Malformed(Exception):
+class MalformedMessage(Exception):
     """No message, or one that is not taken; with what a client is told."""
 
-    def __init__(self, status: HTTPStatus, why: str):
-        super().__init__(why)
+    def __init__(self, status: HTTPStatus, reason: str):
+        super().__init__(reason)
         self.status = status
 
 
@@ -29,115 +29,115 @@
 
     length: int | None = None  # if it is told
 
-    def __init__(self, most: int):
-        self.most = most
-        self.size = 0  # payload so far
-        self.used = 0  # bytes of the last feed that belong to the body
-        self.done = False
+    def __init__(self, max_bytes: int):
+        self.max_bytes = max_bytes
+        self.payload_bytes = 0  # payload so far
+        self.consumed_bytes = 0  # bytes of the last feed that belong to the body
+        self.is_complete = False
 
     def feed(self, view: memoryview) -> list[memoryview]:
         raise NotImplementedError
 
     def end(self) -> bool:
         """The connection has ended; whether that leaves the body whole."""
-        return self.done
+        return self.is_complete
 
-    def _grown(self, count: int) -> None:
-        self.size += count
-        if self.size > self.most:
-            raise Malformed(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
+    def _count_payload(self, count: int) -> None:
+        self.payload_bytes += count
+        if self.payload_bytes > self.max_bytes:
+            raise MalformedMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
 
 
 class SizedBody(Body):
     """One whose length its head tells."""
 
-    def __init__(self, most: int, length: int):
-        super().__init__(most)
+    def __init__(self, max_bytes: int, length: int):
+        super().__init__(max_bytes)
         self.length = length
-        self.done = not length
+        self.is_complete = not length
 
     def feed(self, view: memoryview) -> list[memoryview]:
-        self.used = min(len(view), self.length - self.size)
-        self._grown(self.used)
-        self.done = self.size == self.length
-        return [view[: self.used]] if self.used else []
+        self.consumed_bytes = min(len(view), self.length - self.payload_bytes)
+        self._count_payload(self.consumed_bytes)
+        self.is_complete = self.payload_bytes == self.length
+        return [view[: self.consumed_bytes]] if self.consumed_bytes else []
 
 
 class BodyUntilClose(Body):
     """One that ends with its connection."""
 
     def feed(self, view: memoryview) -> list[memoryview]:
-        self.used = len(view)
-        self._grown(self.used)
-        return [view] if self.used else []
+        self.consumed_bytes = len(view)
+        self._count_payload(self.consumed_bytes)
+        return [view] if self.consumed_bytes else []
 
     def end(self) -> bool:
-        self.done = True
+        self.is_complete = True
         return True
 
 
 class ChunkedBody(Body):
-    def __init__(self, most: int):
-        super().__init__(most)
-        self.left = 0  # of this chunk
-        self.line = b""  # as far as it has come
-        self.read = self._size
-        self.trailer = 0
+    def __init__(self, max_bytes: int):
+        super().__init__(max_bytes)
+        self.chunk_remaining = 0  # of this chunk
+        self.partial_line = b""  # as far as it has come
+        self.parse_line = self._parse_size
+        self.trailer_bytes = 0
 
     def feed(self, view: memoryview) -> list[memoryview]:
-        found: list[memoryview] = []
-        at = 0
-        while at < len(view) and not self.done:
-            if self.left:
-                count = min(self.left, len(view) - at)
-                found.append(view[at : at + count])
-                at += count
-                self.left -= count
-                self._grown(count)
+        payload: list[memoryview] = []
+        position = 0
+        while position < len(view) and not self.is_complete:
+            if self.chunk_remaining:
+                count = min(self.chunk_remaining, len(view) - position)
+                payload.append(view[position : position + count])
+                position += count
+                self.chunk_remaining -= count
+                self._count_payload(count)
                 continue
-            some = bytes(view[at : at + MOST_LINE])
-            end = some.find(b"\n") + 1
-            self.line += some[:end] if end else some
-            at += end or len(some)
-            if len(self.line) > MOST_LINE:
-                raise _bad("a line of it is too long")
+            segment = bytes(view[position : position + MAX_LINE_BYTES])
+            end = segment.find(b"\n") + 1
+            self.partial_line += segment[:end] if end else segment
+            position += end or len(segment)
+            if len(self.partial_line) > MAX_LINE_BYTES:
+                raise _malformed_chunks("a line of it is too long")
             if end:
-                line, self.line = self.line, b""
+                line, self.partial_line = self.partial_line, b""
                 # A line that ends in half of its mark ends for one reader and not for the next.
                 if line[-2:] != b"\r\n" or b"\r" in line[:-2]:
-                    raise _bad("its lines end in doubt")
-                self.read(line[:-2])
-        self.used = at
-        return found
-
-    def _size(self, line: bytes) -> None:
-        found = _SIZE.match(line)
-        if found is None:
-            raise _bad("a chunk has no size")
-        self.left = int(found[1], 16)
-        self.read = self._behind if self.left else self._last
-
-    def _behind(self, line: bytes) -> None:
+                    raise _malformed_chunks("its lines end in doubt")
+                self.parse_line(line[:-2])
+        self.consumed_bytes = position
+        return payload
+
+    def _parse_size(self, line: bytes) -> None:
+        payload = _CHUNK_SIZE_LINE.match(line)
+        if payload is None:
+            raise _malformed_chunks("a chunk has no size")
+        self.chunk_remaining = int(payload[1], 16)
+        self.parse_line = self._parse_chunk_end if self.chunk_remaining else self._parse_trailer
+
+    def _parse_chunk_end(self, line: bytes) -> None:
         if line:
-            raise _bad("a chunk is longer than it says")
-        self.read = self._size
+            raise _malformed_chunks("a chunk is longer than it says")
+        self.parse_line = self._parse_size
 
-    def _last(self, line: bytes) -> None:
+    def _parse_trailer(self, line: bytes) -> None:
         """Trailers, which nobody here goes by, up to an empty line."""
-        self.trailer += len(line)
-        if self.trailer > MOST_TRAILER or line and not _TRAILER.match(line):
-            raise _bad("its trailer can't be read")
-        self.done = not line
+        self.trailer_bytes += len(line)
+        if self.trailer_bytes > MAX_TRAILER_BYTES or line and not _TRAILER_LINE.match(line):
+            raise _malformed_chunks("its trailer can't be read")
+        self.is_complete = not line
 
 
-def _bad(why: str) -> Malformed:
-    return Malformed(HTTPStatus.BAD_REQUEST, f"the chunked body: {why}")
+def _malformed_chunks(reason: str) -> MalformedMessage:
+    return MalformedMessage(HTTPStatus.BAD_REQUEST, f"the chunked body: {reason}")
 
 
-def chunk(pieces: list[memoryview]) -> list[bytes | memoryview]:
+def encode_chunk(pieces: list[memoryview]) -> list[bytes | memoryview]:
     """Payload as one chunk; no payload is none, since an empty chunk would end the body."""
-    size = sum(map(len, pieces))
-    return [b"%x\r\n" % size, *pieces, b"\r\n"] if size else []
+    payload_bytes = sum(map(len, pieces))
+    return [b"%x\r\n" % payload_bytes, *pieces, b"\r\n"] if payload_bytes else []
 
 
 LAST_CHUNK = b"0\r\n\r\n"
--- a/src/nettledeal/net/protocol/catalogue.py
+++ b/src/nettledeal/net/protocol/catalogue.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from nettledeal.model import Life, Listing
-from nettledeal.net.address import Address, parsed
+from nettledeal.net.address import Address, parse_address
 
-_LIVES = {"ready": Life.RUNNING, "draining": Life.DRAINING, "gone": Life.GONE}
+_LIFECYCLES = {"ready": Life.RUNNING, "draining": Life.DRAINING, "gone": Life.GONE}
 
 
-class Garbled(ValueError):
+class MalformedCatalogue(ValueError):
     """A line of the list that cannot be read; the text says what is wrong with it."""
 
 
@@ -41,15 +41,15 @@
     """What one line of the list says, and where each backend is to be reached."""
 
     generation: int
-    whole: bool
+    is_full: bool
     listings: list[Listing]
-    places: dict[str, Address]
-    unread: int = 0  # entries that make no sense
+    addresses: dict[str, Address]
+    unreadable_entries: int = 0  # entries that make no sense
 
     @property
-    def base(self) -> int | None:
+    def resume_version(self) -> int | None:
         """The version from which changes make up the list; one with holes would keep them."""
-        return self.generation if self.whole and not self.unread else None
+        return self.generation if self.is_full and not self.unreadable_entries else None
 
 
 class Catalogue:
@@ -62,23 +62,23 @@
 
     def parse(self, line: bytes | bytearray | Mapping) -> CatalogueUpdate:
         try:
-            known = isinstance(line, Mapping)  # told at the start, read by then
-            read = msgspec.convert(line, _Line) if known else self.decoder.decode(line)
-        except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-            raise Garbled(str(fault)) from None
-        news = CatalogueUpdate(read.generation, read.reset, [], {})
-        for raw in read.instances:
+            is_parsed = isinstance(line, Mapping)  # told at the start, read by then
+            parsed_line = msgspec.convert(line, _Line) if is_parsed else self.decoder.decode(line)
+        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+            raise MalformedCatalogue(str(error)) from None
+        update = CatalogueUpdate(parsed_line.generation, parsed_line.reset, [], {})
+        for raw_entry in parsed_line.instances:
             try:
-                self._add(news, msgspec.convert(raw, _Entry))
+                self._add(update, msgspec.convert(raw_entry, _Entry))
             except (msgspec.MsgspecError, ValueError):
-                news.unread += 1  # one that cannot be read must not cost the others
-        return news
+                update.unreadable_entries += 1  # one that cannot be read must not cost the others
+        return update
 
-    def _add(self, news: CatalogueUpdate, entry: _Entry) -> None:
-        life = _LIVES.get(entry.lifecycle)
+    def _add(self, update: CatalogueUpdate, entry: _Entry) -> None:
+        life = _LIFECYCLES.get(entry.lifecycle)
         if life is not Life.GONE:
-            news.places[entry.instance_id] = parsed(entry.host_port)
-        news.listings.append(self._listing(entry, life))
+            update.addresses[entry.instance_id] = parse_address(entry.host_port)
+        update.listings.append(self._listing(entry, life))
 
     def _listing(self, entry: _Entry, life: Life | None) -> Listing:
         return Listing(
--- a/src/nettledeal/net/protocol/client.py
+++ b/src/nettledeal/net/protocol/client.py
@@ -9,30 +9,30 @@
 import httptools
 
 from nettledeal.model import Time
-from nettledeal.net.protocol.framing import MOST_BODY, Malformed, Message, MessageReader
+from nettledeal.net.protocol.framing import MAX_BUFFERED_BODY_BYTES, MalformedMessage, Message, MessageReader
 from nettledeal.units import TENTH
 
-READY = b"/_health"
+READINESS_PATH = b"/_health"
 # Their answers are framed by rules of their own.
-_NOT_PASSED_ON = (b"CONNECT", b"TRACE")
+_REFUSED_METHODS = (b"CONNECT", b"TRACE")
 # A wait beyond an hour is a mistake, and would keep what it holds for as long.
-_LONGEST_MS = 3_600_000
+_MAX_TIMEOUT_MS = 3_600_000
 # So much of a long body is kept, to be sent once more while no more of it has been asked for.
-REPLAY = 32 * 1024
+REPLAY_BYTES = 32 * 1024
 
 
 @dataclass(slots=True)
 class ClientRequest:
     """A work item as it came: what goes on unchanged, and what its decisions go by."""
 
-    name: bytes  # the client's id of it
+    request_id: bytes  # the client's id of it
     method: bytes
     target: bytes
-    head: bytes  # the lines of its head that go on, the client's id among them: it may repeat
+    forwarded_headers: bytes  # the lines of its head that go on, the client's id among them: it may repeat
     body: memoryview | bytes
     category: str
-    wait: Time | None
-    again: bool
+    timeout: Time | None
+    is_retry: bool
     customer: str = ""
     key: str | None = None
     upload: Upload | None = None
@@ -47,80 +47,87 @@
 class RequestReader(MessageReader):
     """One request of a client, out of the buffer that it is read into."""
 
-    def __init__(self, most_body: int = MOST_BODY) -> None:
-        self.message = Message(httptools.HttpRequestParser, most_body)
+    def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
+        self.message = Message(httptools.HttpRequestParser, max_body_bytes)
 
-    def look(self, buffer: bytearray, filled: int) -> int | None:
-        return self.message.look(buffer, filled)
+    def parse(self, buffer: bytearray, filled: int) -> int | None:
+        return self.message.parse(buffer, filled)
 
     @property
-    def headed(self) -> bool:
-        return self.message.head > 0
+    def head_complete(self) -> bool:
+        return self.message.head_bytes > 0
 
     @property
-    def bare(self) -> bool:
+    def bodiless(self) -> bool:
         """Its answer has no body."""
         return self.message.method == b"HEAD"
 
     @property
-    def dated(self) -> bool:
-        return self.message.dated
+    def is_http_1_0(self) -> bool:
+        return self.message.is_http_1_0
 
     @property
-    def come(self) -> int:
+    def body_received(self) -> int:
         """The bytes of its body so far, where they are counted."""
-        return self.message.reader.size if self.message.reader is not None else 0
+        return self.message.body_reader.payload_bytes if self.message.body_reader is not None else 0
 
     @property
-    def handed_on(self) -> bool:
+    def ready_to_stream(self) -> bool:
         """Long, and enough of it has come to begin with."""
         message = self.message
-        return message.long and (message.length is None or message.reader.size >= REPLAY)
+        return message.is_long and (
+            message.length is None or message.body_reader.payload_bytes >= REPLAY_BYTES
+        )
 
     @property
-    def expects(self) -> bool:
+    def expects_continue(self) -> bool:
         """The client sends its body only when told to."""
-        return self.message.head > 0 and self.message.headers.get(b"expect", b"").lower() == b"100-continue"
+        return (
+            self.message.head_bytes > 0
+            and self.message.headers.get(b"expect", b"").lower() == b"100-continue"
+        )
 
     @property
-    def ready_check(self) -> bool:
-        return self.message.url.partition(b"?")[0] == READY
+    def is_readiness_check(self) -> bool:
+        return self.message.url.partition(b"?")[0] == READINESS_PATH
 
     def request(self) -> ClientRequest:
         message, headers = self.message, self.message.headers
         if not message.url.startswith(b"/"):
-            raise Malformed(HTTPStatus.BAD_REQUEST, "the target is no path")
+            raise MalformedMessage(HTTPStatus.BAD_REQUEST, "the target is no path")
         method = message.method
-        if method in _NOT_PASSED_ON:
-            raise Malformed(HTTPStatus.NOT_IMPLEMENTED, f"{method.decode()} is not passed on")
-        name = headers.get(b"x-request-id")
-        if not name:
-            raise Malformed(HTTPStatus.BAD_REQUEST, "X-Request-ID is missing")
+        if method in _REFUSED_METHODS:
+            raise MalformedMessage(HTTPStatus.NOT_IMPLEMENTED, f"{method.decode()} is not passed on")
+        request_id = headers.get(b"x-request-id")
+        if not request_id:
+            raise MalformedMessage(HTTPStatus.BAD_REQUEST, "X-Request-ID is missing")
         request = ClientRequest(
-            name=name,
+            request_id=request_id,
             method=method,
             target=message.url,
-            head=message.passed_on(b"x-timeout-ms"),
-            body=message.body or b"".join(message.pieces),
+            forwarded_headers=message.end_to_end_headers(b"x-timeout-ms"),
+            body=message.body or b"".join(message.body_pieces),
             category=headers.get(b"x-priority-class", b"").decode("latin-1"),
-            wait=_wait(headers.get(b"x-timeout-ms")),
-            again=headers.get(b"x-retried", b"0") not in (b"", b"0"),
+            timeout=_parse_timeout(headers.get(b"x-timeout-ms")),
+            is_retry=headers.get(b"x-retried", b"0") not in (b"", b"0"),
             customer=headers.get(b"x-tenant-id", b"").decode("latin-1"),
             key=headers.get(b"x-route-key", b"").decode("latin-1") or None,
         )
-        _attributes(request, headers.get(b"x-attrs", b"").decode("latin-1"))
+        _apply_attributes(request, headers.get(b"x-attrs", b"").decode("latin-1"))
         return request
 
 
-def _wait(text: bytes | None) -> Time | None:
+def _parse_timeout(text: bytes | None) -> Time | None:
     if text is None:
         return None
-    if not text.isdigit() or len(text) > 9 or not 0 < int(text) <= _LONGEST_MS:
-        raise Malformed(HTTPStatus.BAD_REQUEST, "X-Timeout-Ms is no count of milliseconds up to an hour")
+    if not text.isdigit() or len(text) > 9 or not 0 < int(text) <= _MAX_TIMEOUT_MS:
+        raise MalformedMessage(
+            HTTPStatus.BAD_REQUEST, "X-Timeout-Ms is no count of milliseconds up to an hour"
+        )
     return int(text) * 10
 
 
-def _attributes(request: ClientRequest, text: str) -> None:
+def _apply_attributes(request: ClientRequest, text: str) -> None:
     """The further figures, by the simulator's names; what cannot be read says nothing."""
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
@@ -130,13 +137,13 @@
             request.customer = value
 
 
-def answer(
+def response_head(
     status: HTTPStatus,
     length: int | None,
     *,
-    keep: bool,
+    keep_alive: bool,
     retry_after: Time = 0,
-    lines: bytes = b"",
+    backend_headers: bytes = b"",
     chunked: bool = True,
 ) -> bytes:
     """The head of an answer, with the backend's own lines; its body follows as it is, in chunks or up to the
@@ -149,6 +156,6 @@
     if retry_after > 0:
         seconds = f"{retry_after * TENTH / 1e9:.4f}".rstrip("0").rstrip(".")
         head += f"Retry-After: {seconds}\r\n"
-    if not keep:
+    if not keep_alive:
         head += "Connection: close\r\n"
-    return head.encode("ascii") + lines + b"\r\n"
+    return head.encode("ascii") + backend_headers + b"\r\n"
--- a/src/nettledeal/net/protocol/discovery.py
+++ b/src/nettledeal/net/protocol/discovery.py
@@ -7,22 +7,22 @@
 
 import httptools
 
-from nettledeal.net.protocol.catalogue import Garbled
+from nettledeal.net.protocol.catalogue import MalformedCatalogue
 
 # A whole list of ten thousand backends is smaller.
-MOST_LINE = 4 * 1024 * 1024
-_ASK = "GET /catalog/members{} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n"
+MAX_LINE_BYTES = 4 * 1024 * 1024
+_REQUEST = "GET /catalog/members{} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n"
 
 
-def whole_list(host: str) -> bytes:
-    return _ASK.format("", host).encode("ascii")
+def full_list_request(host: str) -> bytes:
+    return _REQUEST.format("", host).encode("ascii")
 
 
-def watch(host: str, version: int) -> bytes:
-    return _ASK.format(f"?watch=1&from={version}", host).encode("ascii")
+def watch_request(host: str, version: int) -> bytes:
+    return _REQUEST.format(f"?watch=1&from={version}", host).encode("ascii")
 
 
-class Declined(Exception):
+class CallDeclined(Exception):
     """Discovery has more callers than it can answer; what it told before still stands."""
 
     def __init__(self, status: int, retry_after: float | None):
@@ -35,8 +35,8 @@
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.rest = bytearray()
-        self.headed = self.ended = False
+        self.buffer = bytearray()
+        self.head_complete = self.is_complete = False
         self.retry_after: float | None = None
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -45,30 +45,30 @@
                 self.retry_after = min(60.0, max(0.0, float(value)))
 
     def on_headers_complete(self) -> None:
-        self.headed = True
+        self.head_complete = True
 
     def on_body(self, body: bytes) -> None:
-        self.rest += body
+        self.buffer += body
 
     def on_message_complete(self) -> None:
-        self.ended = True
+        self.is_complete = True
 
-    def feed(self, slice: memoryview) -> None:
+    def feed(self, data: memoryview) -> None:
         try:
-            self.parser.feed_data(slice)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            raise Garbled(f"no HTTP: {fault}") from None
+            self.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            raise MalformedCatalogue(f"no HTTP: {error}") from None
         status = self.parser.get_status_code()
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
-            if self.headed:
-                raise Declined(status, self.retry_after)
+            if self.head_complete:
+                raise CallDeclined(status, self.retry_after)
         elif status and status != HTTPStatus.OK:
-            raise Garbled(f"answered {status}")
-        if len(self.rest) > MOST_LINE:
-            raise Garbled("a line without end")
+            raise MalformedCatalogue(f"answered {status}")
+        if len(self.buffer) > MAX_LINE_BYTES:
+            raise MalformedCatalogue("a line without end")
 
-    def lines(self) -> list[bytes]:
+    def take_lines(self) -> list[bytes]:
         """The lines that are whole; an empty one only says that the watch stands."""
-        *lines, rest = self.rest.split(b"\n")
-        self.rest = bytearray(rest)
+        *lines, rest = self.buffer.split(b"\n")
+        self.buffer = bytearray(rest)
         return [bytes(line.strip()) for line in lines]
--- /dev/null
+++ b/src/nettledeal/net/protocol/load_report.py
@@ -0,0 +1,27 @@
+"""Load reports, as backends word them, in the words that the settings name them by."""
+
+from __future__ import annotations
+
+from math import isfinite
+
+from nettledeal.model import Report
+
+# What backends call what the settings call otherwise.
+_SETTINGS_NAMES = {"inflight": "outstanding", "queue": "backlog", "util": "utilization"}
+_MAX_REPORT_BYTES = 1024
+
+
+def parse_load_report(text: bytes | memoryview | None) -> Report:
+    """What can be read of a report; what is no sensible number is left out."""
+    values: dict[str, float] = {}
+    if text is None or len(text) > _MAX_REPORT_BYTES:
+        return values
+    for part in bytes(text).decode("ascii", "replace").split(","):
+        name, separator, value = part.strip().partition("=")
+        try:
+            number = float(value)
+        except ValueError:
+            continue
+        if separator and isfinite(number) and number >= 0:
+            values[_SETTINGS_NAMES.get(name.strip(), name.strip())] = number
+    return values
--- a/src/nettledeal/net/routing/actions.py
+++ b/src/nettledeal/net/routing/actions.py
@@ -10,18 +10,18 @@
 from nettledeal.model import Act, Answer, Enquiry, HandOff, Outcome, Probe, Recall, Time, Verdict
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
-from nettledeal.net.protocol import backend as dialect
+from nettledeal.net.protocol import backend as backend_protocol
 from nettledeal.net.protocol.backend import Reply
 from nettledeal.net.protocol.client import ClientRequest
-from nettledeal.net.routing.intake import Intake
+from nettledeal.net.routing.request_admission import RequestAdmission
+from nettledeal.net.transport.backend_pools import BackendPools
 from nettledeal.net.transport.exchange import Exchange
 from nettledeal.net.transport.pending_answer import PendingAnswer
-from nettledeal.net.transport.pools import Pools
-from nettledeal.net.transport.relay import SLOWEST
+from nettledeal.net.transport.relay import MAX_UPLOAD_TENTHS
 
 # The answer is to be with the client before its expiry, which counts from when it sent: so much is left
 # for the way here and back.
-WAY = 20
+TRANSIT_MARGIN_TENTHS = 20
 
 
 @dataclass(slots=True, eq=False)
@@ -30,17 +30,17 @@
 
     request: ClientRequest
     pending: PendingAnswer
-    out: dict[int, Exchange] = field(default_factory=dict)
+    exchanges: dict[int, Exchange] = field(default_factory=dict)
 
 
-class Events(Protocol):
+class ExchangeEvents(Protocol):
     """Whom it is told what comes of a hand-off or a probe."""
 
-    def returned(self, id: int, number: int, reply: Reply) -> None: ...
+    def hand_off_ended(self, id: int, number: int, reply: Reply) -> None: ...
 
-    def probed(self, backend: str, reply: Reply) -> None: ...
+    def probe_ended(self, backend: str, reply: Reply) -> None: ...
 
-    def handed_on(self, id: int, number: int) -> None: ...
+    def upload_started(self, id: int, number: int) -> None: ...
 
 
 class Actions:
@@ -48,106 +48,112 @@
         self,
         clock: Clock,
         counters: Counters,
-        pools: Pools,
-        intake: Intake,
-        events: Events,
-        probe_within: Time,
-        reports: bool,
+        pools: BackendPools,
+        admission: RequestAdmission,
+        events: ExchangeEvents,
+        probe_timeout: Time,
+        request_reports: bool,
         subscribe: Callable[[], None],
     ):
         self.clock = clock
         self.counters = counters
         self.pools = pools
-        self.intake = intake
+        self.admission = admission
         self.events = events
-        self.probe_within = probe_within
-        self.reports = reports
+        self.probe_timeout = probe_timeout
+        self.request_reports = request_reports
         self.subscribe = subscribe
-        self.open: dict[int, OpenRequest] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
 
-    def carry_out(self, acts: Iterable[Act], told: Time) -> None:
+    def carry_out(self, acts: Iterable[Act], decided_at: Time) -> None:
         """In their order; `told` is the time that the balancer went by."""
         for act in acts:
             try:
-                self._act(act, told)
+                self._execute(act, decided_at)
             except Exception:
                 # The acts behind it are for other work items.
-                self.counters.fault(type(act).__name__)
+                self.counters.record_exception(type(act).__name__)
                 if isinstance(act, HandOff):
-                    self.events.returned(act.work_item, act.number, Reply(Outcome.UNSENT))
+                    self.events.hand_off_ended(act.work_item, act.number, Reply(Outcome.UNSENT))
 
-    def _act(self, act: Act, told: Time) -> None:
+    def _execute(self, act: Act, decided_at: Time) -> None:
         match act:
             case HandOff():
-                self._hand_off(act, told)
+                self._send_hand_off(act, decided_at)
             case Answer(id, verdict, retry_after):
-                self._answer(id, verdict, retry_after)
+                self._send_answer(id, verdict, retry_after)
             case Recall(id, number):
-                held = self.open.get(id)
-                if held is not None and number in held.out:
-                    held.out[number].drop()
+                open_request = self.open_requests.get(id)
+                if open_request is not None and number in open_request.exchanges:
+                    open_request.exchanges[number].cancel()
             case Probe(backend):
-                self._probe(str(backend))
+                self._send_probe(str(backend))
             case Enquiry():
                 self.subscribe()
 
-    def _hand_off(self, act: HandOff, told: Time) -> None:
-        held = self.open.get(act.work_item)
-        self.counters.must(held is not None, "a hand-off belongs to a work item not yet answered")
+    def _send_hand_off(self, act: HandOff, decided_at: Time) -> None:
+        open_request = self.open_requests.get(act.work_item)
+        self.counters.check_invariant(
+            open_request is not None, "a hand-off belongs to a work item not yet answered"
+        )
 
-        def done(reply: Reply) -> None:
-            self.events.returned(act.work_item, act.number, reply)
+        def on_reply(reply: Reply) -> None:
+            self.events.hand_off_ended(act.work_item, act.number, reply)
 
-        if held is None or not held.pending.wanted:
+        if open_request is None or not open_request.pending.is_wanted:
             # Its client has left and the word of it is still in the queue: nothing is sent for nobody.
-            done(Reply(Outcome.UNSENT))
+            on_reply(Reply(Outcome.UNSENT))
             return
         backend = str(act.backend)
-        exchange = self._exchange(act, held, told, done)
-        held.out[act.number] = exchange
-        if not self.pools.carry(backend, exchange):
+        exchange = self._new_exchange(act, open_request, decided_at, on_reply)
+        open_request.exchanges[act.number] = exchange
+        if not self.pools.send(backend, exchange):
             self.counters["hand-offs without a connection"] += 1
-            done(Reply(Outcome.UNSENT))
+            on_reply(Reply(Outcome.UNSENT))
 
-    def _exchange(
-        self, act: HandOff, held: OpenRequest, told: Time, done: Callable[[Reply], None]
+    def _new_exchange(
+        self, act: HandOff, open_request: OpenRequest, decided_at: Time, on_reply: Callable[[Reply], None]
     ) -> Exchange:
-        request = held.request
+        request = open_request.request
         time_out = act.time_out
         if request.upload is not None:
             # Its expiry lies as far off as the slowest upload; its answer's wait runs from its last byte.
-            time_out = max(1, held.pending.by - told - SLOWEST - 2 * WAY)
-        exchange = Exchange(dialect.hand_off(request, time_out), told + act.time_out, done)
+            time_out = max(
+                1, open_request.pending.deadline - decided_at - MAX_UPLOAD_TENTHS - 2 * TRANSIT_MARGIN_TENTHS
+            )
+        exchange = Exchange(
+            backend_protocol.encode_hand_off(request, time_out), decided_at + act.time_out, on_reply
+        )
         exchange.begin_by = act.begin_by
-        exchange.bare = request.method == b"HEAD"
-        exchange.wanted = lambda: held.pending.wanted
+        exchange.bodiless = request.method == b"HEAD"
+        exchange.is_wanted = lambda: open_request.pending.is_wanted
         if request.upload is not None:
-            exchange.upload, exchange.wait = request.upload, time_out
-            exchange.handed_on = lambda: self.events.handed_on(act.work_item, act.number)
+            exchange.upload, exchange.reply_timeout = request.upload, time_out
+            exchange.on_upload_start = lambda: self.events.upload_started(act.work_item, act.number)
         return exchange
 
-    def _probe(self, backend: str) -> None:
-        def done(reply: Reply) -> None:
-            self.events.probed(backend, reply)
+    def _send_probe(self, backend: str) -> None:
+        def on_reply(reply: Reply) -> None:
+            self.events.probe_ended(backend, reply)
 
-        head = dialect.probe(self.pools.host(backend), self.reports)
-        give_up_at = self.clock.now() + self.probe_within
-        if not self.pools.carry(backend, Exchange([head], give_up_at, done, probe=True)):
-            done(Reply(Outcome.UNSENT))
+        head = backend_protocol.encode_probe(self.pools.host(backend), self.request_reports)
+        deadline = self.clock.now() + self.probe_timeout
+        if not self.pools.send(backend, Exchange([head], deadline, on_reply, is_probe=True)):
+            on_reply(Reply(Outcome.UNSENT))
 
-    def _answer(self, id: int, verdict: Verdict, retry_after: Time) -> None:
-        held = self.open.get(id)
-        self.counters.must(held is not None, "a work item gets one answer")
-        if held is None:
+    def _send_answer(self, id: int, verdict: Verdict, retry_after: Time) -> None:
+        open_request = self.open_requests.get(id)
+        self.counters.check_invariant(open_request is not None, "a work item gets one answer")
+        if open_request is None:
             return
         deferred = verdict is Verdict.DEFERRED
         status = HTTPStatus.SERVICE_UNAVAILABLE if deferred else HTTPStatus.BAD_GATEWAY
-        held.pending.put(status, retry_after=retry_after)
+        open_request.pending.put(status, retry_after=retry_after)
         self.close(id)
 
     def close(self, id: int) -> None:
         """Answered, or its client is gone: what is still out for it ends, or it would be sent afterwards."""
-        held = self.open.pop(id)
-        self.intake.names.discard(held.request.name)
-        for exchange in held.out.values():
-            exchange.drop()
+        open_request = self.open_requests.pop(id)
+        self.admission.open_request_ids.discard(open_request.request.request_id)
+        for exchange in open_request.exchanges.values():
+            exchange.cancel()
--- a/src/nettledeal/net/routing/router.py
+++ b/src/nettledeal/net/routing/router.py
@@ -20,17 +20,17 @@
 from nettledeal.net.protocol.backend import Reply
 from nettledeal.net.protocol.catalogue import CatalogueUpdate
 from nettledeal.net.protocol.client import ClientRequest
-from nettledeal.net.routing.actions import WAY, Actions, OpenRequest
-from nettledeal.net.routing.intake import Intake
+from nettledeal.net.routing.actions import TRANSIT_MARGIN_TENTHS, Actions, OpenRequest
+from nettledeal.net.routing.request_admission import RequestAdmission
+from nettledeal.net.transport.backend_pools import BackendPools
 from nettledeal.net.transport.pending_answer import PendingAnswer
-from nettledeal.net.transport.pools import Pools
-from nettledeal.net.transport.relay import SLOWEST
+from nettledeal.net.transport.relay import MAX_UPLOAD_TENTHS
 from nettledeal.policy.balancer import Balancer
 
 # A loop that is late by more than this is given as much again; less would only blur how long clients wait.
-LATE = 50
+LAG_TOLERANCE_TENTHS = 50
 # How often the router looks at how late it runs when nothing else wakes it.
-LOOK = SECOND // 4
+LAG_CHECK_TENTHS = SECOND // 4
 
 
 class Router:
@@ -39,257 +39,277 @@
         balancer: Balancer,
         clock: Clock,
         counters: Counters,
-        pools: Pools,
+        pools: BackendPools,
         categories: dict[str, int],
         customers: dict[str, int],
-        waits: dict[str, Time],
-        most: int,
-        probe_within: Time,
-        reports: bool,
+        default_timeouts: dict[str, Time],
+        max_open: int,
+        probe_timeout: Time,
+        request_reports: bool,
         subscribe: Callable[[], None],
     ):
         self.balancer = balancer
         self.clock = clock
         self.counters = counters
         self.pools = pools
-        self.intake = Intake(categories, customers, waits, most)
-        self.actions = Actions(clock, counters, pools, self.intake, self, probe_within, reports, subscribe)
-        self.open = self.actions.open
+        self.admission = RequestAdmission(categories, customers, default_timeouts, max_open)
+        self.actions = Actions(
+            clock, counters, pools, self.admission, self, probe_timeout, request_reports, subscribe
+        )
+        self.open_requests = self.actions.open_requests
         self.queue: SimpleQueue = SimpleQueue()
-        self.orders: deque[tuple[Callable, tuple, AsyncResult]] = deque()
-        self.places: dict[str, Address] = {}  # where those that the list calls running are reached
-        self.offered = 0  # work items given an id so far
-        self.waiting = 0  # of which still in the queue
-        self.wake: Time | None = None
-        self.told: Time = 0  # the time that the balancer was told last
+        self.commands: deque[tuple[Callable, tuple, AsyncResult]] = deque()
+        self.addresses: dict[str, Address] = {}  # where those that the list calls running are reached
+        self.submitted = 0  # work items given an id so far
+        self.queued = 0  # of which still in the queue
+        self.wake_at: Time | None = None
+        self.last_told: Time = 0  # the time that the balancer was told last
         self.lag: Time = 0  # how late the loop has run of late
 
     @property
     def busy(self) -> bool:
-        return bool(self.open or self.waiting)
+        return bool(self.open_requests or self.queued)
 
     # Called by the greenlets that have sockets.
 
-    def offer(self, request: ClientRequest, at: Time, pending: PendingAnswer) -> int | None:
+    def submit(self, request: ClientRequest, received_at: Time, pending: PendingAnswer) -> int | None:
         """The work item's id here, or None if it has got its answer at once."""
-        fault = self.intake.unfit(request, at)
-        if fault is not None:
+        rejection = self.admission.rejection_status(request, received_at)
+        if rejection is not None:
             self.counters["requests unfit"] += 1
-            pending.put(fault)
+            pending.put(rejection)
             return None
-        if self.waiting + len(self.open) >= self.intake.most:
+        if self.queued + len(self.open_requests) >= self.admission.max_open:
             # Nothing has been sent for it, so a deferral promises nothing that isn't so.
             self.counters["deferred at the door"] += 1
             pending.put(HTTPStatus.SERVICE_UNAVAILABLE)
             return None
-        pending.by = at + self.intake.wait(request)
+        pending.deadline = received_at + self.admission.timeout(request)
         if request.upload is not None:
-            pending.by += SLOWEST
-        self.offered += 1
-        self.waiting += 1
-        self.intake.names.add(request.name)
-        self.queue.put((self._taken, (self.offered, request, at, pending)))
-        return self.offered
+            pending.deadline += MAX_UPLOAD_TENTHS
+        self.submitted += 1
+        self.queued += 1
+        self.admission.open_request_ids.add(request.request_id)
+        self.queue.put((self._on_submit, (self.submitted, request, received_at, pending)))
+        return self.submitted
 
-    def gone(self, id: int) -> None:
-        self.queue.put((self._gone, (id,)))
+    def client_left(self, id: int) -> None:
+        self.queue.put((self._on_client_left, (id,)))
 
-    def news(self, news: CatalogueUpdate) -> None:
-        self.queue.put((self._listed, (news,)))
+    def update_catalogue(self, update: CatalogueUpdate) -> None:
+        self.queue.put((self._on_catalogue, (update,)))
 
-    def lost(self) -> None:
-        self.queue.put((self._lost, ()))
+    def discovery_lost(self) -> None:
+        self.queue.put((self._on_discovery_lost, ()))
 
-    def returned(self, id: int, number: int, reply: Reply) -> None:
-        self.queue.put((self._returned, (id, number, reply)))
+    def hand_off_ended(self, id: int, number: int, reply: Reply) -> None:
+        self.queue.put((self._on_hand_off_ended, (id, number, reply)))
 
-    def probed(self, backend: str, reply: Reply) -> None:
-        self.queue.put((self._probed, (backend, reply)))
+    def probe_ended(self, backend: str, reply: Reply) -> None:
+        self.queue.put((self._on_probe_ended, (backend, reply)))
 
-    def handed_on(self, id: int, number: int) -> None:
-        self.queue.put((self._handed_on, (id, number)))
+    def upload_started(self, id: int, number: int) -> None:
+        self.queue.put((self._on_upload_started, (id, number)))
 
-    def overdue(self, id: int) -> None:
+    def answer_overdue(self, id: int) -> None:
         """Its client has got a failure since nothing else came in time."""
-        self.counters.must(False, "a work item is answered before its expiry")
-        self.gone(id)
+        self.counters.check_invariant(False, "a work item is answered before its expiry")
+        self.client_left(id)
 
     def execute(self, call: Callable, *arguments):
         """An operator's order, done ahead of all that is in the queue; blocks until it is in force. Whoever
         stops waiting takes it back, or it would be done after it was refused."""
-        order = call, arguments, AsyncResult()
-        self.orders.append(order)
-        self.queue.put((self._ordered, ()))
+        command = call, arguments, AsyncResult()
+        self.commands.append(command)
+        self.queue.put((self._run_commands, ()))
         try:
-            return order[2].get()
+            return command[2].get()
         finally:
-            if order in self.orders:
-                self.orders.remove(order)
+            if command in self.commands:
+                self.commands.remove(command)
 
     def cordon(self, backend: str, heard: bool = False) -> bool:
         """Ordered here, or heard of from another process of this agent."""
-        return self.execute(self._maintain, self.balancer.cordon, backend, heard)
+        return self.execute(self._set_cordon, self.balancer.cordon, backend, heard)
 
     def uncordon(self, backend: str) -> bool:
-        return self.execute(self._maintain, self.balancer.uncordon, backend)
+        return self.execute(self._set_cordon, self.balancer.uncordon, backend)
 
-    def retune(self, settings: Mapping, customers: dict[str, int], waits: dict[str, Time], most: int) -> None:
+    def update_settings(
+        self, settings: Mapping, customers: dict[str, int], default_timeouts: dict[str, Time], max_open: int
+    ) -> None:
         """Other settings, in one step between two work items."""
-        self.execute(self._retune, settings, customers, waits, most)
+        self.execute(self._on_settings, settings, customers, default_timeouts, max_open)
 
     # The greenlet.
 
     def start(self, known: CatalogueUpdate | None) -> None:
         self._carry_out(self.balancer.start(self._now()))
         if known is not None:
-            self._listed(known, cached=True)
+            self._on_catalogue(known, cached=True)
 
     def run(self) -> None:
         while True:
-            self._ordered()
+            self._run_commands()
             now = self.clock.now()
-            until = now + LOOK if self.wake is None else min(self.wake, now + LOOK)
-            call, arguments = self._woken, ()
+            until = (
+                now + LAG_CHECK_TENTHS if self.wake_at is None else min(self.wake_at, now + LAG_CHECK_TENTHS)
+            )
+            call, arguments = self._on_wake, ()
             # A wake that is due comes before what is in the queue: under load that is never empty.
-            if self.wake is None or self.wake > now:
+            if self.wake_at is None or self.wake_at > now:
                 try:
                     call, arguments = self.queue.get(timeout=(until - now) / SECOND)
                 except Empty:
-                    self._late(until)
+                    self._record_lag(until)
             try:
                 call(*arguments)
             except Exception:
                 # Whatever it was, the other work items go on.
-                self.counters.fault(call.__name__)
-                self._save(call, arguments)
+                self.counters.record_exception(call.__name__)
+                self._fail_work_item(call, arguments)
 
     def _now(self) -> Time:
-        self.told = max(self.told, self.clock.now())
-        return self.told
+        self.last_told = max(self.last_told, self.clock.now())
+        return self.last_told
 
-    def _late(self, until: Time) -> None:
+    def _record_lag(self, until: Time) -> None:
         self.lag = max(self.clock.now() - until, self.lag * 3 // 4)
 
-    def _save(self, call: Callable, arguments: tuple) -> None:
+    def _fail_work_item(self, call: Callable, arguments: tuple) -> None:
         """A work item whose event went wrong has lost its way: it is answered now."""
-        id = arguments[0] if call in (self._taken, self._returned) else None
-        held = self.open.get(id)
-        if held is not None:
+        id = arguments[0] if call in (self._on_submit, self._on_hand_off_ended) else None
+        open_request = self.open_requests.get(id)
+        if open_request is not None:
             # Nobody knows what has run, so it is no deferral.
-            held.pending.put(HTTPStatus.BAD_GATEWAY)
+            open_request.pending.put(HTTPStatus.BAD_GATEWAY)
             self.actions.close(id)
             self.queue.put((self._withdraw, (id,)))
 
     def _withdraw(self, id: int) -> None:
         self._carry_out(self.balancer.withdrawn(self._now(), id))
 
-    def _woken(self) -> None:
-        if self.wake is not None and self.wake <= self.clock.now():
-            self.wake = None
+    def _on_wake(self) -> None:
+        if self.wake_at is not None and self.wake_at <= self.clock.now():
+            self.wake_at = None
             self._carry_out(self.balancer.wake(self._now()))
 
-    def _taken(self, id: int, request: ClientRequest, at: Time, pending: PendingAnswer) -> None:
-        self.waiting -= 1
-        expiry = pending.by - WAY - (self.lag if self.lag > LATE else 0)
-        self.open[id] = OpenRequest(request, pending)
+    def _on_submit(self, id: int, request: ClientRequest, received_at: Time, pending: PendingAnswer) -> None:
+        self.queued -= 1
+        expiry = (
+            pending.deadline - TRANSIT_MARGIN_TENTHS - (self.lag if self.lag > LAG_TOLERANCE_TENTHS else 0)
+        )
+        self.open_requests[id] = OpenRequest(request, pending)
         # As of when it was read: how long a client waits tells first tries from repeats, and the time in
         # the queue would blur it.
-        self.told = max(self.told, at)
-        category = self.intake.category(request)
+        self.last_told = max(self.last_told, received_at)
+        category = self.admission.category_number(request)
         self._carry_out(
             self.balancer.take(
-                self.told,
+                self.last_told,
                 id,
                 category,
-                max(at + 1, expiry),
-                customer=self.intake.customer(request),
+                max(received_at + 1, expiry),
+                customer=self.admission.customer_number(request),
                 key=request.key,
-                again=request.again,
+                again=request.is_retry,
                 long=request.upload is not None,
             )
         )
 
-    def _gone(self, id: int) -> None:
-        if id in self.open:
+    def _on_client_left(self, id: int) -> None:
+        if id in self.open_requests:
             self.counters["withdrawn"] += 1
             self.actions.close(id)
             self._withdraw(id)
 
-    def _returned(self, id: int, number: int, reply: Reply) -> None:
-        held = self.open.get(id)
-        if held is not None:
-            held.out.pop(number, None)
-        if reply.rest is not None and (held is None or held.pending.status is not None):
-            reply.rest.end(False)  # its client is gone, or has been answered
-        if held is not None and reply.outcome is Outcome.FINISHED:
-            held.pending.put(HTTPStatus.OK, reply.body, reply.lines, rest=reply.rest)
+    def _on_hand_off_ended(self, id: int, number: int, reply: Reply) -> None:
+        open_request = self.open_requests.get(id)
+        if open_request is not None:
+            open_request.exchanges.pop(number, None)
+        if reply.body_stream is not None and (
+            open_request is None or open_request.pending.status is not None
+        ):
+            reply.body_stream.finish(False)  # its client is gone, or has been answered
+        if open_request is not None and reply.outcome is Outcome.FINISHED:
+            open_request.pending.put(HTTPStatus.OK, reply.body, reply.headers, body_stream=reply.body_stream)
             self.actions.close(id)
         self._carry_out(
             self.balancer.returned(
-                self._now(), id, number, reply.outcome, reply.took, closed=False, report=reply.report or {}
+                self._now(),
+                id,
+                number,
+                reply.outcome,
+                reply.duration,
+                closed=False,
+                report=reply.report or {},
             )
         )
 
-    def _probed(self, backend: str, reply: Reply) -> None:
-        step = self.balancer.probed(self._now(), backend, reply.outcome, reply.took, reply.report or {})
+    def _on_probe_ended(self, backend: str, reply: Reply) -> None:
+        step = self.balancer.probed(self._now(), backend, reply.outcome, reply.duration, reply.report or {})
         self._carry_out(step)
 
-    def _handed_on(self, id: int, number: int) -> None:
+    def _on_upload_started(self, id: int, number: int) -> None:
         self._carry_out(self.balancer.handed_on(self._now(), id, number))
 
-    def _ordered(self) -> None:
-        while self.orders:
-            call, arguments, result = self.orders.popleft()
+    def _run_commands(self) -> None:
+        while self.commands:
+            call, arguments, result = self.commands.popleft()
             try:
                 result.set(call(*arguments))
-            except Exception as fault:
-                result.set_exception(fault)
+            except Exception as error:
+                result.set_exception(error)
 
-    def _maintain(self, call: Callable[..., bool], backend: str, *heard: bool) -> bool:
+    def _set_cordon(self, call: Callable[..., bool], backend: str, *heard: bool) -> bool:
         known = call(self._now(), backend, *heard)
-        self._reach(backend)
+        self._sync_pool(backend)
         return known
 
-    def _retune(
-        self, settings: Mapping, customers: dict[str, int], waits: dict[str, Time], most: int
+    def _on_settings(
+        self, settings: Mapping, customers: dict[str, int], default_timeouts: dict[str, Time], max_open: int
     ) -> None:
         before = meaning_of(self.balancer.state.settings)
         self._carry_out(self.balancer.retune(self._now(), settings))
-        for part in reset_changed(self.balancer, before, self.told):
+        for part in reset_changed(self.balancer, before, self.last_told):
             self.counters[f"begun afresh: {part}"] += 1
         state = self.balancer.state
         names = [category.name for category in state.categories]
-        self.intake.retune(names, state.named, customers, waits, most, self.clock.now())
+        self.admission.update_settings(
+            names, state.named, customers, default_timeouts, max_open, self.clock.now()
+        )
 
-    def _reach(self, backend: str) -> None:
+    def _sync_pool(self, backend: str) -> None:
         """Connections to what the list calls running, unless an operator has taken it out; without them
         nothing new goes there, and what is decided but not yet written comes back as never sent."""
-        if backend in self.places and backend not in self.balancer.state.cordoned:
-            self.pools.place(backend, self.places[backend])
+        if backend in self.addresses and backend not in self.balancer.state.cordoned:
+            self.pools.set_address(backend, self.addresses[backend])
         else:
-            self.pools.drop(backend)
+            self.pools.remove(backend)
 
-    def _listed(self, news: CatalogueUpdate, cached: bool = False) -> None:
+    def _on_catalogue(self, update: CatalogueUpdate, cached: bool = False) -> None:
         named = set()
-        for listing in news.listings:
+        for listing in update.listings:
             backend = str(listing.backend)
             named.add(backend)
             if listing.life is Life.RUNNING:
-                self.places[backend] = news.places[backend]
+                self.addresses[backend] = update.addresses[backend]
             else:
-                self.places.pop(backend, None)
-            self._reach(backend)
-        if news.whole:
-            for backend in set(self.places) - named:
-                del self.places[backend]
-                self._reach(backend)
+                self.addresses.pop(backend, None)
+            self._sync_pool(backend)
+        if update.is_full:
+            for backend in set(self.addresses) - named:
+                del self.addresses[backend]
+                self._sync_pool(backend)
         now = self._now()
-        self._carry_out(self.balancer.update_backends(now, news.listings, whole=news.whole, cached=cached))
+        self._carry_out(
+            self.balancer.update_backends(now, update.listings, whole=update.is_full, cached=cached)
+        )
 
-    def _lost(self) -> None:
+    def _on_discovery_lost(self) -> None:
         self._carry_out(self.balancer.discovery_failed(self._now()))
 
     def _carry_out(self, step: Step) -> None:
-        if step.wake is not None and (self.wake is None or step.wake < self.wake):
-            self.wake = step.wake
-        self.actions.carry_out(step.acts, self.told)
+        if step.wake is not None and (self.wake_at is None or step.wake < self.wake_at):
+            self.wake_at = step.wake
+        self.actions.carry_out(step.acts, self.last_told)
--- a/src/nettledeal/net/transport/admin_server.py
+++ b/src/nettledeal/net/transport/admin_server.py
@@ -10,28 +10,28 @@
 
 from nettledeal.net.address import Address
 from nettledeal.net.counters import Counters
-from nettledeal.net.protocol import orders
-from nettledeal.net.protocol.orders import Order, Refused
-from nettledeal.net.transport.budget import CALLERS
-from nettledeal.net.transport.sockets import bound, send_all
+from nettledeal.net.protocol import admin_commands
+from nettledeal.net.protocol.admin_commands import AdminCommand, CommandRefused
+from nettledeal.net.transport.budget import MAX_ADMIN_CALLERS
+from nettledeal.net.transport.sockets import listening_socket, send_all
 
 # A caller that finishes no line within this time is let go.
-WITHIN = 5.0
-MOST_READ = 16 * 1024
+LINE_TIMEOUT_S = 5.0
+MAX_READ_BYTES = 16 * 1024
 # An order not carried out by then is refused: the caller waits a second.
-ANSWERED = 0.9
+COMMAND_TIMEOUT_S = 0.9
 
 log = structlog.get_logger()
 
 
 class AdminServer:
-    def __init__(self, address: Address, counters: Counters, carry_out: Callable[[Order], str]):
+    def __init__(self, address: Address, counters: Counters, carry_out: Callable[[AdminCommand], str]):
         """`carry_out` returns what is said of an order once it is in force, and raises `Refused`."""
-        self.sock = bound(address)
+        self.sock = listening_socket(address)
         self.counters = counters
         self.carry_out = carry_out
-        self.silent: dict[socket.socket, None] = {}  # the longest first
-        self.held = 0
+        self.silent_callers: dict[socket.socket, None] = {}  # the longest first
+        self.open_callers = 0
 
     def run(self) -> None:
         while True:
@@ -42,64 +42,67 @@
                     return
                 gevent.sleep(0.01)
                 continue
-            self.held += 1
-            if self.held > CALLERS and self.silent:
+            self.open_callers += 1
+            if self.open_callers > MAX_ADMIN_CALLERS and self.silent_callers:
                 # Who says nothing keeps nobody out.
                 self.counters["silent callers at the door ended"] += 1
-                longest = next(iter(self.silent))
-                del self.silent[longest]
+                longest = next(iter(self.silent_callers))
+                del self.silent_callers[longest]
                 longest.close()
-            self.silent[sock] = None
+            self.silent_callers[sock] = None
             gevent.spawn(self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
         try:
-            with gevent.Timeout(WITHIN):
-                line = self._line(sock)
-            self.silent.pop(sock, None)
+            with gevent.Timeout(LINE_TIMEOUT_S):
+                line = self._read_line(sock)
+            self.silent_callers.pop(sock, None)
             if line:
-                with gevent.Timeout(WITHIN):
-                    send_all(sock, [self._answer(line)])
+                with gevent.Timeout(LINE_TIMEOUT_S):
+                    send_all(sock, [self._execute(line)])
                     # Closing with bytes unread would send a reset, and that could overtake the answer.
                     sock.shutdown(socket.SHUT_WR)
-                    while len(line) < MOST_READ and (more := sock.recv(4096)):
+                    while len(line) < MAX_READ_BYTES and (more := sock.recv(4096)):
                         line += more
         except (OSError, gevent.Timeout):
             self.counters["calls at the door broken"] += 1
         finally:
-            self.silent.pop(sock, None)
+            self.silent_callers.pop(sock, None)
             sock.close()
-            self.held -= 1
+            self.open_callers -= 1
 
-    def _line(self, sock: socket.socket) -> bytes:
+    def _read_line(self, sock: socket.socket) -> bytes:
         line = b""
-        while b"\n" not in line and len(line) <= orders.MOST_LINE:
-            more = sock.recv(orders.MOST_LINE + 1 - len(line))
+        while b"\n" not in line and len(line) <= admin_commands.MAX_LINE_BYTES:
+            more = sock.recv(admin_commands.MAX_LINE_BYTES + 1 - len(line))
             if not more:
                 break
             line += more
         return line
 
-    def _answer(self, line: bytes) -> bytes:
-        first, end, behind = line.partition(b"\n")
+    def _execute(self, line: bytes) -> bytes:
+        first, end, rest = line.partition(b"\n")
         try:
             # Half a line may be half an id: nothing is done by it.
             if not end:
-                raise Refused("the line is " + ("too long" if len(line) > orders.MOST_LINE else "cut short"))
-            if behind:
-                raise Refused("one line to a connection")
-            order = orders.order(first)
-            with gevent.Timeout(ANSWERED, Refused("not carried out in time")):
-                said = self.carry_out(order)
-        except Refused as why:
+                raise CommandRefused(
+                    "the line is "
+                    + ("too long" if len(line) > admin_commands.MAX_LINE_BYTES else "cut short")
+                )
+            if rest:
+                raise CommandRefused("one line to a connection")
+            command = admin_commands.parse_command(first)
+            with gevent.Timeout(COMMAND_TIMEOUT_S, CommandRefused("not carried out in time")):
+                result = self.carry_out(command)
+        except CommandRefused as why:
             log.warning("order refused", line=first[:80].decode("ascii", "replace"), why=str(why))
-            return orders.refused(str(why))
+            return admin_commands.format_error(str(why))
         except Exception:
-            self.counters.fault("order")
-            return orders.refused("a fault of the agent")
-        if order.word not in ("health", "members"):
-            log.info("order carried out", order=order.word, backend=order.backend, said=said)
-        return orders.done(said)
+            self.counters.record_exception("order")
+            return admin_commands.format_error("a fault of the agent")
+        if command.name not in ("health", "members"):
+            log.info("order carried out", order=command.name, backend=command.argument, said=result)
+        return admin_commands.format_ok(result)
 
     def close(self) -> None:
         self.sock.close()
--- a/src/nettledeal/net/transport/answer_writer.py
+++ b/src/nettledeal/net/transport/answer_writer.py
@@ -11,22 +11,22 @@
 from gevent import socket
 
 from nettledeal.net.clock import SECOND, Clock
-from nettledeal.net.protocol.backend import Rest
-from nettledeal.net.protocol.bodies import LAST_CHUNK, Malformed, chunk
-from nettledeal.net.protocol.client import RequestReader, answer
+from nettledeal.net.protocol.backend import BodyStream
+from nettledeal.net.protocol.bodies import LAST_CHUNK, MalformedMessage, encode_chunk
+from nettledeal.net.protocol.client import RequestReader, response_head
 from nettledeal.net.transport.pending_answer import PendingAnswer
 from nettledeal.net.transport.relay import Upload
 from nettledeal.net.transport.sockets import send_all
 
 # How long an answer may take to be read once nobody waits for it any more.
-BEYOND = SECOND
+READ_GRACE_TENTHS = SECOND
 # The longest that an answer may be on its way whatever its expiry is: that of an upload lies far off.
-LONGEST = 60 * SECOND
+MAX_SEND_TENTHS = 60 * SECOND
 # What still comes of a request that was turned away is read for so long (seconds) and so many times, no
 # further.
-DRAINS, DRAINED = 0.3, 16
+DRAIN_TIMEOUT_S, MAX_DRAIN_READS = 0.3, 16
 
-_spill = bytearray(64 * 1024)  # where that goes; nobody looks at it
+_discard_buffer = bytearray(64 * 1024)  # where that goes; nobody looks at it
 
 
 class AnsweringListener(Protocol):
@@ -35,7 +35,7 @@
     clock: Clock
 
     @property
-    def takes_upload(self) -> bool:
+    def accepts_upload(self) -> bool:
         """Whether there is room for one more long request."""
 
 
@@ -49,78 +49,84 @@
     def __init__(self, listener: AnsweringListener, sock: socket.socket):
         self.listener = listener
         self.sock = sock
-        self.parted = False  # its side is shut, and what still came has been read
+        self.write_closed = False  # its side is shut, and what still came has been read
 
     def send(
         self,
         reader: RequestReader,
         pending: PendingAnswer,
-        keep: bool,
-        moves: Callable[[bool], None],
+        keep_alive: bool,
+        on_progress: Callable[[bool], None],
         upload: Upload | None = None,
     ) -> None:
         """One answer, whole; an error means that the connection is of no further use. `keep`: whether it is
         to stay open; `moves` is told each time that some of a relayed body goes out, and when that ends."""
         status = pending.status or HTTPStatus.BAD_GATEWAY
-        rest = pending.rest
-        length = rest.length if rest is not None else None if reader.bare else len(pending.body)
-        early = upload is not None and not upload.body.done
-        in_chunks = rest is not None and length is None and not reader.dated
-        head = answer(
+        body_stream = pending.body_stream
+        length = (
+            body_stream.length if body_stream is not None else None if reader.bodiless else len(pending.body)
+        )
+        upload_unfinished = upload is not None and not upload.body.is_complete
+        is_chunked = body_stream is not None and length is None and not reader.is_http_1_0
+        head = response_head(
             status,
             length,
-            keep=keep and not early,
+            keep_alive=keep_alive and not upload_unfinished,
             retry_after=pending.retry_after,
-            lines=pending.lines,
-            chunked=in_chunks,
+            backend_headers=pending.headers,
+            chunked=is_chunked,
+        )
+        time_left = (
+            min(max(0, pending.deadline - self.listener.clock.now()), MAX_SEND_TENTHS) + READ_GRACE_TENTHS
         )
-        left = min(max(0, pending.by - self.listener.clock.now()), LONGEST) + BEYOND
-        with gevent.Timeout(left / SECOND):
-            send_all(self.sock, [head, pending.body if rest is None and not reader.bare else b""])
-        if rest is not None:
-            self._pass_on(rest, in_chunks, moves)
-        if early:
-            self._end_early(upload)
-
-    def _end_early(self, upload: Upload) -> None:
+        with gevent.Timeout(time_left / SECOND):
+            send_all(self.sock, [head, pending.body if body_stream is None and not reader.bodiless else b""])
+        if body_stream is not None:
+            self._stream_body(body_stream, is_chunked, on_progress)
+        if upload_unfinished:
+            self._finish_early(upload)
+
+    def _finish_early(self, upload: Upload) -> None:
         """Closing with bytes unread would send a reset, and that could overtake the answer. What comes behind
         the body could not be answered: it is not read as a request."""
-        self.parted = True
+        self.write_closed = True
         self.sock.shutdown(socket.SHUT_WR)
-        with gevent.Timeout(None if self.listener.takes_upload else DRAINS, False):
+        with gevent.Timeout(None if self.listener.accepts_upload else DRAIN_TIMEOUT_S, False):
             upload.discard()
 
-    def _pass_on(self, rest: Rest, in_chunks: bool, moves: Callable[[bool], None]) -> None:
+    def _stream_body(
+        self, body_stream: BodyStream, is_chunked: bool, on_progress: Callable[[bool], None]
+    ) -> None:
         """As it comes, however slowly it is read: the backend connection at its other end sees that it moves
         at all."""
         try:
-            while pieces := rest.pull():
-                moves(True)
-                send_all(self.sock, chunk(pieces) if in_chunks else pieces)
+            while pieces := body_stream.pull():
+                on_progress(True)
+                send_all(self.sock, encode_chunk(pieces) if is_chunked else pieces)
         except OSError:
-            if rest.length is None and not in_chunks:
+            if body_stream.length is None and not is_chunked:
                 # Its end is that of the connection, and a plain one would pass for the whole.
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raise
         finally:
-            moves(False)
-        if in_chunks:
+            on_progress(False)
+        if is_chunked:
             send_all(self.sock, [LAST_CHUNK])
-        rest.end(True)
+        body_stream.finish(True)
 
-    def refuse(self, fault: Malformed) -> None:
+    def refuse(self, error: MalformedMessage) -> None:
         """Answers what cannot be read as a request, and ends the connection."""
-        body = f"{fault}\n".encode("ascii", "replace")
-        with gevent.Timeout(BEYOND / SECOND):
-            send_all(self.sock, [answer(fault.status, len(body), keep=False), body])
-        self.part()
+        body = f"{error}\n".encode("ascii", "replace")
+        with gevent.Timeout(READ_GRACE_TENTHS / SECOND):
+            send_all(self.sock, [response_head(error.status, len(body), keep_alive=False), body])
+        self.close_gracefully()
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Ends the connection behind an answer. Closing with bytes unread would send a reset, and that could
         overtake it."""
-        self.parted = True
+        self.write_closed = True
         self.sock.shutdown(socket.SHUT_WR)
-        with gevent.Timeout(DRAINS, False):
-            for _ in range(DRAINED):
-                if not self.sock.recv_into(_spill):
+        with gevent.Timeout(DRAIN_TIMEOUT_S, False):
+            for _ in range(MAX_DRAIN_READS):
+                if not self.sock.recv_into(_discard_buffer):
                     break
--- a/src/nettledeal/net/transport/buffers.py
+++ b/src/nettledeal/net/transport/buffers.py
@@ -4,8 +4,8 @@
 
 from gevent import socket
 
-FIRST = 2048
-WINDOW = 32 * 1024
+INITIAL_BYTES = 2048
+RELAY_WINDOW_BYTES = 32 * 1024
 
 
 class OutOfMemory(Exception):
@@ -15,9 +15,9 @@
 class MemoryPool:
     """Memory for what goes beyond the first bytes of messages, over many connections."""
 
-    def __init__(self, most: int):
-        self.most = most
-        self.held = 0
+    def __init__(self, limit: int):
+        self.limit = limit
+        self.used_bytes = 0
 
 
 class Buffer(bytearray):
@@ -26,62 +26,64 @@
     __slots__ = ("counted", "memory")
 
     def __init__(self, size: int, memory: MemoryPool):
-        self.counted = 0
+        self.counted_bytes = 0
         self.memory = memory
-        if size > FIRST:
-            if memory.held + size > memory.most:
+        if size > INITIAL_BYTES:
+            if memory.used_bytes + size > memory.limit:
                 raise OutOfMemory
-            self.counted = size
-            memory.held += size
+            self.counted_bytes = size
+            memory.used_bytes += size
         super().__init__(size)
 
     def __del__(self) -> None:
-        self.memory.held -= self.counted
+        self.memory.used_bytes -= self.counted_bytes
 
 
-def window(memory: MemoryPool) -> Buffer:
+def relay_buffer(memory: MemoryPool) -> Buffer:
     """What one relay reads into; a small one where memory is short, since what it carries can't be refused
     any more."""
     try:
-        return Buffer(WINDOW, memory)
+        return Buffer(RELAY_WINDOW_BYTES, memory)
     except OutOfMemory:
-        return Buffer(FIRST, memory)
+        return Buffer(INITIAL_BYTES, memory)
 
 
 class ReadBuffer:
     """Holds one message at a time. Whoever still holds slices of one keeps its buffer; the connection
     goes on with a new one, so nothing is copied but what has come behind the message."""
 
-    def __init__(self, memory: MemoryPool, most: int):
+    def __init__(self, memory: MemoryPool, max_bytes: int):
         self.memory = memory
-        self.most = most + FIRST
-        self.buffer = Buffer(FIRST, memory)
+        self.max_bytes = max_bytes + INITIAL_BYTES
+        self.buffer = Buffer(INITIAL_BYTES, memory)
         self.filled = 0
 
-    def read(self, sock: socket.socket, whole: int | None = None, kept: int | None = None) -> int:
+    def read(
+        self, sock: socket.socket, total_bytes: int | None = None, retained_bytes: int | None = None
+    ) -> int:
         """Blocks; the number of bytes that came, 0 at the end. `whole` is the message's size, if known; where
         only the first bytes are still needed, `kept` tells how many."""
-        if self.filled == len(self.buffer) and (kept is None or self.filled < self.most):
+        if self.filled == len(self.buffer) and (retained_bytes is None or self.filled < self.max_bytes):
             # By what has come, not by what the head claims: a claim costs its sender nothing.
-            size = min(4 * len(self.buffer), whole or self.most, self.most)
+            size = min(4 * len(self.buffer), total_bytes or self.max_bytes, self.max_bytes)
             if size <= self.filled:
                 raise OutOfMemory
             # No slice is out before a message is whole, but one of its forerunner may be: so no resizing.
             grown = Buffer(size, self.memory)
-            copied = self.filled if kept is None else kept
+            copied = self.filled if retained_bytes is None else retained_bytes
             grown[:copied] = memoryview(self.buffer)[:copied]
             self.buffer = grown
-        if kept is not None:
-            self.filled = kept
+        if retained_bytes is not None:
+            self.filled = retained_bytes
         count = sock.recv_into(memoryview(self.buffer)[self.filled :])
         self.filled += count
         return count
 
-    def next(self, used: int) -> None:
+    def start_next_message(self, used_bytes: int) -> None:
         """Starts on the message behind the first `used` bytes."""
-        self.put(memoryview(self.buffer)[used : self.filled])
+        self.replace_contents(memoryview(self.buffer)[used_bytes : self.filled])
 
-    def put(self, rest: memoryview | bytes) -> None:
-        fresh = Buffer(max(FIRST, len(rest)), self.memory)
-        fresh[: len(rest)] = rest
-        self.buffer, self.filled = fresh, len(rest)
+    def replace_contents(self, contents: memoryview | bytes) -> None:
+        buffer = Buffer(max(INITIAL_BYTES, len(contents)), self.memory)
+        buffer[: len(contents)] = contents
+        self.buffer, self.filled = buffer, len(contents)
--- a/src/nettledeal/net/transport/exchange.py
+++ b/src/nettledeal/net/transport/exchange.py
@@ -11,10 +11,10 @@
 from nettledeal.net.transport.relay import Upload
 
 
-class Breakable(Protocol):
+class Abortable(Protocol):
     """The connection that carries an exchange."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End it, and with it what is not yet written."""
 
 
@@ -23,25 +23,25 @@
     """One exchange with a backend: what to send, how long to wait, whom to tell."""
 
     parts: list[bytes | memoryview]
-    give_up_at: Time
-    done: Callable[[Reply], None]
-    probe: bool = False
-    connection: Breakable | None = None
-    written: bool = False  # its last byte is the kernel's: from here on it may run
-    dropped: bool = False
+    deadline: Time
+    on_reply: Callable[[Reply], None]
+    is_probe: bool = False
+    connection: Abortable | None = None
+    fully_written: bool = False  # its last byte is the kernel's: from here on it may run
+    cancelled: bool = False
     upload: Upload | None = None  # what is still to come of a long body, behind the parts
-    wait: Time = 0  # for the answer, from its last byte
-    handed_on: Callable[[], None] | None = None  # told when the first of it is asked for
-    bare: bool = False  # the answer has no body
+    reply_timeout: Time = 0  # for the answer, from its last byte
+    on_upload_start: Callable[[], None] | None = None  # told when the first of it is asked for
+    bodiless: bool = False  # the answer has no body
     begin_by: Time | None = None  # where it must not begin later, though its answer could still be in time
-    wanted: Callable[[], bool] | None = None  # whether its client is still there
-    begun: bool = False  # some of it has been written
+    is_wanted: Callable[[], bool] | None = None  # whether its client is still there
+    started: bool = False  # some of it has been written
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """Nobody waits for it any more: its connection ends, and with it what is not yet written."""
-        if not self.dropped:
-            self.dropped = True
+        if not self.cancelled:
+            self.cancelled = True
             if self.upload is not None:
                 self.upload.stop()
             if self.connection is not None:
-                self.connection.break_off()
+                self.connection.abort()
--- a/src/nettledeal/net/transport/handover_folder.py
+++ b/src/nettledeal/net/transport/handover_folder.py
@@ -17,66 +17,66 @@
     def __init__(self, folder: Path, id: str):
         self.folder = folder
         self.id = id
-        self.seen = 0  # the folder's time at the last look
-        self.shared = True  # whether others were there then
-        place = self._place(id, _LOCK)
-        fresh = place.with_suffix(".fresh")
+        self.last_mtime_ns = 0  # the folder's time at the last look
+        self.has_others = True  # whether others were there then
+        path = self._path(id, _LOCK)
+        new_path = path.with_suffix(".fresh")
         # Locked before it can be seen, or it would pass for that of a dead process.
-        self.lock = os.open(fresh, os.O_RDWR | os.O_CREAT | os.O_EXCL, 0o600)
-        fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        os.rename(fresh, place)
+        self.lock_fd = os.open(new_path, os.O_RDWR | os.O_CREAT | os.O_EXCL, 0o600)
+        fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        os.rename(new_path, path)
 
-    def _place(self, id: str, kind: str) -> Path:
+    def _path(self, id: str, kind: str) -> Path:
         return self.folder / f"{_PREFIX}{id}{kind}"
 
     def write(self, record: bytes) -> None:
         """Whole or not at all for whoever reads it meanwhile."""
-        fresh = self._place(self.id, ".fresh")
-        fresh.write_bytes(record)
-        os.replace(fresh, self._place(self.id, _RECORD))
+        new_path = self._path(self.id, ".fresh")
+        new_path.write_bytes(record)
+        os.replace(new_path, self._path(self.id, _RECORD))
 
     @property
-    def stirs(self) -> bool:
+    def may_have_changed(self) -> bool:
         """Whether there may be something new: alone there is only the folder's time to look at."""
-        return self.shared or os.stat(self.folder).st_mtime_ns != self.seen
+        return self.has_others or os.stat(self.folder).st_mtime_ns != self.last_mtime_ns
 
-    def look(self, read: Callable[[bytes], Any | None]) -> list[Any]:
+    def read_others(self, read: Callable[[bytes], Any | None]) -> list[Any]:
         """Records of other processes that live; what the dead have left goes."""
-        self.seen = os.stat(self.folder).st_mtime_ns
-        found, self.shared = [], False
-        for place in self.folder.glob(f"{_PREFIX}*{_LOCK}"):
-            id = place.name[len(_PREFIX) : -len(_LOCK)]
+        self.last_mtime_ns = os.stat(self.folder).st_mtime_ns
+        records, self.has_others = [], False
+        for path in self.folder.glob(f"{_PREFIX}*{_LOCK}"):
+            id = path.name[len(_PREFIX) : -len(_LOCK)]
             if id == self.id:
                 continue
-            if not self._lives(place):
+            if not self._is_alive(path):
                 for kind in (_RECORD, ".fresh", _LOCK):
                     with suppress(OSError):
-                        self._place(id, kind).unlink()
+                        self._path(id, kind).unlink()
                 continue
-            self.shared = True
+            self.has_others = True
             with suppress(OSError):
-                record = read(self._place(id, _RECORD).read_bytes())
+                record = read(self._path(id, _RECORD).read_bytes())
                 if record is not None:
-                    found.append(record)
-        return found
+                    records.append(record)
+        return records
 
     @staticmethod
-    def _lives(place: Path) -> bool:
+    def _is_alive(path: Path) -> bool:
         try:
-            lock = os.open(place, os.O_RDWR)
+            lock_fd = os.open(path, os.O_RDWR)
         except OSError:
             return False  # gone meanwhile
         try:
-            fcntl.flock(lock, fcntl.LOCK_SH | fcntl.LOCK_NB)
+            fcntl.flock(lock_fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except OSError:
             return True
         else:
             return False
         finally:
-            os.close(lock)
+            os.close(lock_fd)
 
-    def clear(self) -> None:
+    def remove(self) -> None:
         for kind in (_RECORD, _LOCK):
             with suppress(OSError):
-                self._place(self.id, kind).unlink()
-        os.close(self.lock)
+                self._path(self.id, kind).unlink()
+        os.close(self.lock_fd)
--- a/src/nettledeal/net/transport/hang_ups.py
+++ b/src/nettledeal/net/transport/peer_close_watcher.py
@@ -13,37 +13,37 @@
 
 _READABLE = 1
 # Errors and resets are told without being asked for.
-_ENDS = select.EPOLLRDHUP
+_CLOSE_EVENTS = select.EPOLLRDHUP
 
 
-class HangUps:
+class PeerCloseWatcher:
     """The connections that are watched; `ended` callbacks run on the loop and must not wait."""
 
     def __init__(self) -> None:
-        self._ended: dict[int, Callable[[], None]] = {}
-        self._ends: select.epoll | None = None
+        self._callbacks: dict[int, Callable[[], None]] = {}
+        self._epoll: select.epoll | None = None
         self._watcher = None
 
-    def watch(self, descriptor: int, ended: Callable[[], None]) -> None:
+    def watch(self, descriptor: int, on_close: Callable[[], None]) -> None:
         """Call `ended` once, when the peer has ended its sending or the connection has broken."""
-        if self._ends is None:
-            self._ends = select.epoll()
-            self._watcher = get_hub().loop.io(self._ends.fileno(), _READABLE)
-        if not self._ended:
-            self._watcher.start(self._tell)
-        self._ended[descriptor] = ended
-        self._ends.register(descriptor, _ENDS)
+        if self._epoll is None:
+            self._epoll = select.epoll()
+            self._watcher = get_hub().loop.io(self._epoll.fileno(), _READABLE)
+        if not self._callbacks:
+            self._watcher.start(self._notify)
+        self._callbacks[descriptor] = on_close
+        self._epoll.register(descriptor, _CLOSE_EVENTS)
 
     def unwatch(self, descriptor: int) -> None:
         """Stop watching; of a connection that is not watched nothing is done. To be called before a close."""
-        if self._ended.pop(descriptor, None) is None:
+        if self._callbacks.pop(descriptor, None) is None:
             return
-        self._ends.unregister(descriptor)
-        if not self._ended:
+        self._epoll.unregister(descriptor)
+        if not self._callbacks:
             self._watcher.stop()
 
-    def _tell(self) -> None:
-        for descriptor, _ in self._ends.poll(0):
-            ended = self._ended[descriptor]
+    def _notify(self) -> None:
+        for descriptor, _ in self._epoll.poll(0):
+            on_close = self._callbacks[descriptor]
             self.unwatch(descriptor)
-            ended()
+            on_close()
--- a/src/nettledeal/net/transport/pending_answer.py
+++ b/src/nettledeal/net/transport/pending_answer.py
@@ -9,8 +9,8 @@
 from gevent.event import Event
 
 from nettledeal.model import Time
-from nettledeal.net.protocol.backend import Rest
-from nettledeal.net.transport.sockets import hung_up
+from nettledeal.net.protocol.backend import BodyStream
+from nettledeal.net.transport.sockets import peer_closed
 
 
 @dataclass(slots=True, eq=False)
@@ -21,33 +21,37 @@
     ready: Event = field(default_factory=Event)
     status: HTTPStatus | None = None
     body: memoryview | bytes = b""
-    lines: bytes = b""
+    headers: bytes = b""
     retry_after: Time = 0
-    by: Time = 0  # the expiry
-    rest: Rest | None = None  # of a long body
-    left: bool = False  # nobody waits any more
+    deadline: Time = 0  # the expiry
+    body_stream: BodyStream | None = None  # of a long body
+    abandoned: bool = False  # nobody waits any more
 
     def put(
         self,
         status: HTTPStatus,
         body: memoryview | bytes = b"",
-        lines: bytes = b"",
+        headers: bytes = b"",
         retry_after: Time = 0,
-        rest: Rest | None = None,
+        body_stream: BodyStream | None = None,
     ) -> None:
-        self.status, self.body, self.lines, self.retry_after = status, body, lines, retry_after
-        self.rest = rest
-        if self.left:
-            self.leave()
+        self.status, self.body, self.headers, self.retry_after = status, body, headers, retry_after
+        self.body_stream = body_stream
+        if self.abandoned:
+            self.abandon()
         self.ready.set()
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether somebody waits for the answer, as the kernel knows it now, also where the client's greenlet
         has not got round to seeing that."""
-        return self.status is None and not self.left and not (self.sock is not None and hung_up(self.sock))
-
-    def leave(self) -> None:
-        self.left = True
-        if self.rest is not None:
-            self.rest.end(False)
+        return (
+            self.status is None
+            and not self.abandoned
+            and not (self.sock is not None and peer_closed(self.sock))
+        )
+
+    def abandon(self) -> None:
+        self.abandoned = True
+        if self.body_stream is not None:
+            self.body_stream.finish(False)
--- a/src/nettledeal/net/transport/relay.py
+++ b/src/nettledeal/net/transport/relay.py
@@ -16,18 +16,18 @@
 from nettledeal.model import Time
 from nettledeal.net.clock import SECOND, Clock
 from nettledeal.net.counters import Counters
-from nettledeal.net.protocol.bodies import Body, Malformed
-from nettledeal.net.transport.buffers import MemoryPool, window
-from nettledeal.net.transport.sockets import wait_for
+from nettledeal.net.protocol.bodies import Body, MalformedMessage
+from nettledeal.net.transport.buffers import MemoryPool, relay_buffer
+from nettledeal.net.transport.sockets import wait_readable
 
 # A relay in which nothing moves for so long ends, in seconds.
-STALLED = 15.0
+STALL_TIMEOUT_S = 15.0
 # The same while places for clients are short.
-STALLED_SHORT = 4.0
+CROWDED_STALL_TIMEOUT_S = 4.0
 # What a client's body may take: a grace, then a second for so many bytes. Only waiting for it counts.
-GRACE, PACE = 2.2, 48_000
+UPLOAD_GRACE_S, MIN_UPLOAD_BYTES_PER_S = 2.2, 48_000
 # The longest that a body may be on its way, as an expiry before its last byte has come.
-SLOWEST = 3600 * SECOND
+MAX_UPLOAD_TENTHS = 3600 * SECOND
 
 
 class Relay:
@@ -37,21 +37,21 @@
         self,
         sock: socket.socket,
         body: Body,
-        first: list[bytes],
+        first_pieces: list[bytes],
         memory: MemoryPool,
         counters: Counters,
-        keeps: bool,
+        keep_alive: bool,
     ):
         self.sock = sock
         self.body = body
-        self.first = first
+        self.first_pieces = first_pieces
         self.memory = memory
         self.counters = counters
         self.buffer = memoryview(b"")
-        self.moved = 0
-        self.over = Event()
-        self.whole = False  # and nothing has come behind it
-        self.keeps = keeps  # whether the connection may carry another message
+        self.progress = 0
+        self.finished = Event()
+        self.is_complete = False  # and nothing has come behind it
+        self.keep_alive = keep_alive  # whether the connection may carry another message
 
     @property
     def length(self) -> int | None:
@@ -61,46 +61,46 @@
         """Blocks; what has come, nothing once the body is whole. An error means that it never will be."""
         try:
             return self._pull()
-        except Malformed as fault:
-            self.counters[f"backend answers garbled: {fault}"] += 1
-            raise ConnectionResetError(str(fault)) from None
+        except MalformedMessage as error:
+            self.counters[f"backend answers garbled: {error}"] += 1
+            raise ConnectionResetError(str(error)) from None
 
     def _pull(self) -> list[memoryview | bytes]:
-        self.moved += 1
-        if self.first:
-            first, self.first = self.first, []
-            return first
+        self.progress += 1
+        if self.first_pieces:
+            first_pieces, self.first_pieces = self.first_pieces, []
+            return first_pieces
         if not self.buffer:
-            self.buffer = memoryview(window(self.memory))
-        while not self.body.done:
+            self.buffer = memoryview(relay_buffer(self.memory))
+        while not self.body.is_complete:
             count = self.sock.recv_into(self.buffer)
-            self.moved += 1
+            self.progress += 1
             if not count:
-                if not self.body.end():
+                if not self.body.finish_at_eof():
                     raise ConnectionResetError("the answer broke off")
                 break
             pieces = self.body.feed(self.buffer[:count])
-            self.whole = self.body.done and self.body.used == count
+            self.is_complete = self.body.is_complete and self.body.consumed_bytes == count
             if pieces:
                 return pieces
         return []
 
-    def end(self, whole: bool) -> None:
+    def finish(self, is_complete: bool) -> None:
         """Nobody pulls any more; who says so first knows."""
-        if not self.over.is_set():
-            self.whole = self.whole and whole
-            self.over.set()
+        if not self.finished.is_set():
+            self.is_complete = self.is_complete and is_complete
+            self.finished.set()
 
     def wait(self, crowded: Callable[[], bool]) -> bool:
         """By the connection that has the backend's socket: until it is back; whether it is of further use."""
-        moved, rested = -1, 0.0
-        while not self.over.wait(STALLED_SHORT):
-            rested = rested + STALLED_SHORT if self.moved == moved else 0.0
-            if rested >= (STALLED_SHORT if crowded() else STALLED):
+        progress, stalled_s = -1, 0.0
+        while not self.finished.wait(CROWDED_STALL_TIMEOUT_S):
+            stalled_s = stalled_s + CROWDED_STALL_TIMEOUT_S if self.progress == progress else 0.0
+            if stalled_s >= (CROWDED_STALL_TIMEOUT_S if crowded() else STALL_TIMEOUT_S):
                 self.counters["relays of answers stalled"] += 1
                 break
-            moved = self.moved
-        return self.whole and self.keeps and self.over.is_set()
+            progress = self.progress
+        return self.is_complete and self.keep_alive and self.finished.is_set()
 
 
 class Upload:
@@ -112,102 +112,102 @@
         body: Body,
         memory: MemoryPool,
         clock: Clock,
-        kept: int,
-        told: Callable[[], None],
+        replay_bytes: int,
+        on_end: Callable[[], None],
     ):
         self.sock = sock
         self.body = body
         self.memory = memory
         self.clock = clock
-        self.told = told  # that it is whole, or never will be
-        self.kept = kept  # the bytes that are there to be sent again
-        memory.held += kept
+        self.on_end = on_end  # that it is whole, or never will be
+        self.replay_bytes = replay_bytes  # the bytes that are there to be sent again
+        memory.used_bytes += replay_bytes
         self.buffer = memoryview(b"")
-        self.begun = False
+        self.started = False
         self.pulling = False
         self.stopped = False
-        self.stirred = Event()
-        self.fault: Malformed | OSError | None = None
+        self.wake_event = Event()
+        self.error: MalformedMessage | OSError | None = None
         self.ended_at: Time = 0  # its last byte
-        self.behind = b""  # what has come behind it
-        self.waited = 0.0
+        self.leftover = b""  # what has come behind it
+        self.waited_s = 0.0
 
     def close(self) -> None:
         """Gives back its memory at once: it and whom it tells refer to each other."""
         self.stop()
-        self.memory.held -= self.kept
-        self.kept, self.buffer, self.told, self.fault = 0, memoryview(b""), bool, None
+        self.memory.used_bytes -= self.replay_bytes
+        self.replay_bytes, self.buffer, self.on_end, self.error = 0, memoryview(b""), bool, None
 
     @property
     def length(self) -> int | None:
         return self.body.length
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """More of it is to come, and somebody may want it."""
-        return not self.body.done and self.fault is None
+        return not self.body.is_complete and self.error is None
 
     @property
-    def given_up(self) -> bool:
-        return self.stopped or self.fault is not None
+    def is_abandoned(self) -> bool:
+        return self.stopped or self.error is not None
 
-    def begin(self) -> bool:
+    def start(self) -> bool:
         """By the one connection that hands it on; not for a second one, as what is pulled is gone."""
-        begun, self.begun = self.begun, True
-        return not begun and not self.stopped
+        started, self.started = self.started, True
+        return not started and not self.stopped
 
     def pull(self) -> list[memoryview]:
         """Blocks; what has come, nothing once the body is whole. An error means that it never will be."""
         self.pulling = True
         try:
-            while not self.body.done:
-                if pieces := self._piece():
+            while not self.body.is_complete:
+                if pieces := self._read_pieces():
                     return pieces
-        except (OSError, Malformed) as fault:
+        except (OSError, MalformedMessage) as error:
             if not self.stopped:
-                self.fault = fault
-                self.told()
+                self.error = error
+                self.on_end()
             raise ConnectionAbortedError("no more of the request comes") from None
         finally:
             self.pulling = False
         return []
 
-    def _piece(self, wanted: bool = True) -> list[memoryview]:
+    def _read_pieces(self, wanted: bool = True) -> list[memoryview]:
         if not self.buffer:
-            self.buffer = memoryview(window(self.memory))
+            self.buffer = memoryview(relay_buffer(self.memory))
         count = self._receive(wanted)
         if not count:
             raise ConnectionResetError("the client ended within its request")
         pieces = self.body.feed(self.buffer[:count])
-        if self.body.done:
-            self.behind = bytes(self.buffer[self.body.used : count])
-            self.ended_at = self.clock.came()
-            self.told()
+        if self.body.is_complete:
+            self.leftover = bytes(self.buffer[self.body.consumed_bytes : count])
+            self.ended_at = self.clock.arrival_time()
+            self.on_end()
         return pieces
 
     def _receive(self, wanted: bool) -> int:
-        began = self.clock.now()
-        left = GRACE + self.body.size / PACE - self.waited
-        wait_for(self.stirred, self.sock, max(0.0, left))
-        self.stirred.clear()
-        self.waited += (self.clock.now() - began) / SECOND
+        began_at = self.clock.now()
+        left_s = UPLOAD_GRACE_S + self.body.payload_bytes / MIN_UPLOAD_BYTES_PER_S - self.waited_s
+        wait_readable(self.wake_event, self.sock, max(0.0, left_s))
+        self.wake_event.clear()
+        self.waited_s += (self.clock.now() - began_at) / SECOND
         if wanted and self.stopped:
             raise ConnectionAbortedError("nobody wants it any more")
         try:
             return self.sock._sock.recv_into(self.buffer)
         except BlockingIOError:
-            raise Malformed(HTTPStatus.REQUEST_TIMEOUT, "it did not come whole") from None
+            raise MalformedMessage(HTTPStatus.REQUEST_TIMEOUT, "it did not come whole") from None
 
     def stop(self) -> None:
         """Nobody wants more of it."""
         self.stopped = True
-        self.stirred.set()
+        self.wake_event.set()
 
     def discard(self) -> None:
         """Reads what still comes, for its client may not look for an answer before it has sent all."""
         self.stop()
         while self.pulling:
             gevent.sleep(0.001)
-        with suppress(Malformed):
-            while self.open:
-                self._piece(wanted=False)
+        with suppress(MalformedMessage):
+            while self.is_open:
+                self._read_pieces(wanted=False)
--- a/src/nettledeal/net/transport/sockets.py
+++ b/src/nettledeal/net/transport/sockets.py
@@ -14,20 +14,20 @@
 from nettledeal.net.address import Address
 
 # The kernel takes no more than a thousand at once, and few are quicker as one.
-MOST_PARTS = 32
+MAX_SENDMSG_PARTS = 32
 
 
 # SO_ATTACH_REUSEPORT_CBPF, which the library has no name for.
-_STEER = 51
+_SO_ATTACH_REUSEPORT_CBPF = 51
 
 
-def opened(address: Address) -> socket.socket:
+def new_socket(address: Address) -> socket.socket:
     return socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
 
 
-def bound(address: Address, shared: bool = False) -> socket.socket:
+def listening_socket(address: Address, shared: bool = False) -> socket.socket:
     """A listening socket; a shared one lets a successor listen at the same address, beside it."""
-    sock = opened(address)
+    sock = new_socket(address)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
@@ -40,27 +40,27 @@
     return sock
 
 
-def steer(sock: socket.socket, number: int) -> bool:
+def steer_connections(sock: socket.socket, index: int) -> bool:
     """New connections to the port go to that one of those that listen there, in the order in which they
     began; whether the kernel takes that. Of a number that is none any more, it shares them out as before."""
     # One instruction: return the number.
-    program = array("B", struct.pack("HBBI", 0x06, 0, 0, number))
-    place, _ = program.buffer_info()
+    program = array("B", struct.pack("HBBI", 0x06, 0, 0, index))
+    program_address, _ = program.buffer_info()
     try:
-        sock.setsockopt(socket.SOL_SOCKET, _STEER, struct.pack("HP", 1, place))
+        sock.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, program_address))
     except OSError:
         return False
     return True
 
 
-def smooth(sock: socket.socket) -> None:
+def disable_nagle(sock: socket.socket) -> None:
     # Messages go out whole: waiting for more to send would only delay their last part.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def send_all(sock: socket.socket, parts: Sequence[bytes | memoryview]) -> None:
     """Returns once the last byte is the kernel's; an error means that it is not."""
-    if len(parts) > MOST_PARTS:
+    if len(parts) > MAX_SENDMSG_PARTS:
         parts = [b"".join(parts)]  # chunks of a few bytes each
     left = [memoryview(part) for part in parts if len(part)]
     while left:
@@ -72,7 +72,7 @@
             left[0] = left[0][sent:]
 
 
-def abandon(sock: socket.socket) -> None:
+def reset_connection(sock: socket.socket) -> None:
     """Ends a connection with a reset, so that the kernel drops what has been written and has not arrived.
     After an end in order it would send that again until it arrives, once a link that was down is up: work
     begun for nobody, or beside its second copy."""
@@ -81,7 +81,7 @@
     sock.close()
 
 
-def wait_for(event: Event, sock: socket.socket, seconds: float | None) -> None:
+def wait_readable(event: Event, sock: socket.socket, seconds: float | None) -> None:
     """Until the event is set, the socket has something to read or the time is over."""
     watcher = get_hub().loop.io(sock.fileno(), 1)
     watcher.start(event.set)
@@ -92,7 +92,7 @@
         watcher.close()
 
 
-def peek(sock: socket.socket) -> bytes | None:
+def peek_byte(sock: socket.socket) -> bytes | None:
     """The next byte, nothing at an end or a break, None while nothing has come."""
     try:
         # The socket below is never a blocking one; asked through gevent it would wait.
@@ -103,13 +103,13 @@
         return b""
 
 
-def hung_up(sock: socket.socket) -> bool:
+def peer_closed(sock: socket.socket) -> bool:
     """Whether the peer has ended its sending, or the connection has: also behind bytes that nobody has read,
     where `peek` does not see that far."""
-    seen = peek(sock)
+    seen = peek_byte(sock)
     if not seen:
         return seen is not None
-    watch = select.poll()
-    watch.register(sock.fileno(), select.POLLRDHUP)
-    ends = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-    return any(events & ends for _, events in watch.poll(0))
+    poll = select.poll()
+    poll.register(sock.fileno(), select.POLLRDHUP)
+    close_events = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+    return any(events & close_events for _, events in poll.poll(0))
--- a/src/nettledeal/peers.py
+++ b/src/nettledeal/peers.py
@@ -22,7 +22,7 @@
 from nettledeal.membership.member import Member
 from nettledeal.membership.steps import Act, Changed, Ordered, Timing, Usurped
 from nettledeal.membership_settings import MembershipSettings
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 from nettledeal.net.clock import SECOND, Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.routing.router import Router
@@ -105,7 +105,7 @@
             "members": [
                 {
                     "name": word.name,
-                    "at": written(word.address),
+                    "at": format_address(word.address),
                     "state": spoken(word.state),
                     "by": word.by,
                     "incarnation": word.incarnation,
@@ -140,7 +140,7 @@
             try:
                 self._look()
             except Exception:
-                self.counters.fault("census")
+                self.counters.record_exception("census")
 
     def _look(self) -> None:
         """What the module goes by follows a view that is believed; any other leaves all as it was."""
--- a/src/nettledeal/reloading.py
+++ b/src/nettledeal/reloading.py
@@ -8,7 +8,7 @@
 
 from nettledeal.configuration import Configuration
 from nettledeal.log_setup import configure_log
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 from nettledeal.net.routing.router import Router
 from nettledeal.net.transport.discovery_watch import DiscoveryWatch
 
@@ -46,14 +46,14 @@
         configure_log(new.log_level)
     if new.settings != old.settings:
         kept = {name: value for key in BUILT for name, value in old.group(key).items()}
-        router.retune(
+        router.update_settings(
             {**new.settings, **kept, **overlay},
             new.numbers("projects"),
             new.waits(),
             new.setting("allowed.max_open"),
         )
-    discovery_watch.move(new.discovery)
-    log.info("reloaded", discovery=written(new.discovery))
+    discovery_watch.change_address(new.discovery)
+    log.info("reloaded", discovery=format_address(new.discovery))
     return replace(
         old, discovery=new.discovery, log_level=new.log_level, settings=new.settings, keys=new.keys
     )
--- a/src/nettledeal/siblings.py
+++ b/src/nettledeal/siblings.py
@@ -18,7 +18,7 @@
 from nettledeal.configuration import Configuration
 from nettledeal.handover import SERVING, Handover, read
 from nettledeal.learned_state import export_learned, import_learned
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.routing.router import Router
@@ -40,7 +40,10 @@
         self.clock, self.counters, self.shared = clock, counters, shared
         self.folder = _folder()
         self.handover = Handover(
-            self.folder.id if self.folder else "", config.name, written(config.listen), time.monotonic_ns()
+            self.folder.id if self.folder else "",
+            config.name,
+            format_address(config.listen),
+            time.monotonic_ns(),
         )
         self.router: Router | None = None
         self.minding = Semaphore()
@@ -60,7 +63,7 @@
 
     def clear(self) -> None:
         if self.folder is not None:
-            self.folder.clear()
+            self.folder.remove()
 
     def follow(self, backend: str, out: bool) -> None:
         """An order that another process, or another agent, was given."""
@@ -88,17 +91,17 @@
         """Looks for other processes of this agent, does what they were told, and shows what it does. A folder
         that fails costs the hand-over, not whoever came to look: the start, an order, the end."""
         try:
-            if self.folder is not None and (always or self.folder.stirs):
+            if self.folder is not None and (always or self.folder.may_have_changed):
                 self._exchange()
         except OSError as fault:
             self.counters[f"hand-over: {fault.strerror}"] += 1
         except Exception:
-            self.counters.fault("hand-over")
+            self.counters.record_exception("hand-over")
 
     def _exchange(self) -> None:
         with self.minding:
             handover, before = self.handover, self.handover.processes
-            for backend, out in handover.told(self.folder.look(read)).items():
+            for backend, out in handover.told(self.folder.read_others(read)).items():
                 self.follow(backend, out)
             handover.carried_out()
             processes, balancer = handover.processes, self.router.balancer
--- a/src/nettledeal/standins/tenant_fleet.py
+++ b/src/nettledeal/standins/tenant_fleet.py
@@ -16,7 +16,7 @@
 from nettledeal.dataplane.routing_table import RoutingTable, updated_table
 from nettledeal.dataplane.selection import AttemptOutcome, Refusal, Selector, ServiceProfile, Tuning
 from nettledeal.discovery.catalogue import Backend
-from nettledeal.net.protocol.framing import Malformed
+from nettledeal.net.protocol.framing import MalformedMessage
 from nettledeal.standins.prefix_cache import RecordingCache, parse_prompt
 from nettledeal.standins.tenant_faults import Fault, Hints, faulty_separate
 from nettledeal.tenancy.gate import TenantGate, TenantRefusal
@@ -81,7 +81,7 @@
         try:
             request.read(bytearray(text), len(text))
             request.check()
-        except Malformed as error:
+        except MalformedMessage as error:
             return HTTPStatus(error.status)
         target = self.table.find(request.header(b"host"), request.path)
         if target is None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,7 @@
 from nettledeal.model import Answer, HandOff, Listing, Outcome, Verdict
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
-from nettledeal.net.transport.budget import Budget
+from nettledeal.net.transport.budget import ConnectionBudget
 from nettledeal.net.transport.buffers import MemoryPool
 from nettledeal.net.transport.listener import Listener
 from nettledeal.policy.balancer import Balancer
@@ -93,7 +93,7 @@
             ("127.0.0.1", 0),
             Clock(),
             self.counters,
-            Budget(most),
+            ConnectionBudget(most),
             MemoryPool(memory),
             self.offer,
             self.left.append,
@@ -102,7 +102,7 @@
         self.greenlet = gevent.spawn(self.listener.run)
 
     def offer(self, request, at, pending):
-        pending.by = at + request.wait
+        pending.deadline = at + request.timeout
         self.taken.append((request, at, pending))
         if not self.hold:
             pending.put(HTTPStatus.OK, bytes(request.body) or b"served")
--- a/tests/system/test_dataplane_client_leaves.py
+++ b/tests/system/test_dataplane_client_leaves.py
@@ -16,7 +16,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from nettledeal.net.transport.hang_ups import HangUps
+from nettledeal.net.transport.peer_close_watcher import PeerCloseWatcher
 from tests.system.dataplane_rig import (
     Client,
     Rig,
@@ -74,7 +74,7 @@
                 return  # a connection that was kept for later
             self.reached.set()
             # Whatever the kernel holds is not read until the peer has left.
-            watched, ended = HangUps(), Event()
+            watched, ended = PeerCloseWatcher(), Event()
             watched.watch(sock.fileno(), ended.set)
             if ended.wait(REACHED_S):
                 self._note_left()
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize("planted", ["watch", "hung_up"])
 def test_an_agent_that_looks_for_ends_only_in_front_of_what_is_unread_is_caught(monkeypatch, planted):
     if planted == "watch":
-        monkeypatch.setattr(HangUps, "watch", lambda *_: None)
+        monkeypatch.setattr(PeerCloseWatcher, "watch", lambda *_: None)
         with pytest.raises(AssertionError):
             test_a_client_that_leaves_is_noticed(STATES["the head of its answer"], 1, "end")
     else:
@@ -220,4 +220,4 @@
         for number in range(3):
             client.send(Request_Id=f"r{number}")
         assert [client.receive()[0] for _ in range(3)] == [200, 200, 200]
-        assert rig.plane.ingress.hang_ups._ended == {}
+        assert rig.plane.ingress.hang_ups._callbacks == {}
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -4,8 +4,8 @@
 from helpers import Peer, until
 
 from nettledeal.net.counters import Counters
-from nettledeal.net.protocol import orders
-from nettledeal.net.protocol.orders import Order, Refused
+from nettledeal.net.protocol import admin_commands
+from nettledeal.net.protocol.admin_commands import AdminCommand, CommandRefused
 from nettledeal.net.transport import admin_server as admin_server_module
 from nettledeal.net.transport.admin_server import AdminServer
 
@@ -13,16 +13,16 @@
 @pytest.mark.parametrize(
     ("line", "order"),
     [
-        (b"health", Order("health")),
-        (b"health\r", Order("health")),
-        (b"  cordon   s-1 ", Order("cordon", "s-1")),
-        (b"uncordon s-1\r", Order("uncordon", "s-1")),
-        (b"quiesce", Order("quiesce")),
-        (b"resume", Order("resume")),
+        (b"health", AdminCommand("health")),
+        (b"health\r", AdminCommand("health")),
+        (b"  cordon   s-1 ", AdminCommand("cordon", "s-1")),
+        (b"uncordon s-1\r", AdminCommand("uncordon", "s-1")),
+        (b"quiesce", AdminCommand("quiesce")),
+        (b"resume", AdminCommand("resume")),
     ],
 )
 def test_lines_that_are_orders(line, order):
-    assert orders.order(line) == order
+    assert admin_commands.parse_command(line) == order
 
 
 BAD = [
@@ -44,13 +44,13 @@
 
 @pytest.mark.parametrize("line", BAD)
 def test_lines_that_are_none(line):
-    with pytest.raises(Refused):
-        orders.order(line)
+    with pytest.raises(CommandRefused):
+        admin_commands.parse_command(line)
 
 
 def test_an_answer_is_one_line_whatever_it_says():
-    assert orders.refused("two\nlines\r\nand é") == b"-ERR two lines and ?\n"
-    assert orders.done() == b"+OK\n"
+    assert admin_commands.format_error("two\nlines\r\nand é") == b"-ERR two lines and ?\n"
+    assert admin_commands.format_ok() == b"+OK\n"
 
 
 class Desk:
@@ -62,7 +62,7 @@
 
     def _carry(self, order):
         self.carried.append(order)
-        return order.backend
+        return order.argument
 
     def connect(self):
         return Peer(socket.create_connection(self.admin_server.sock.getsockname()))
@@ -74,7 +74,7 @@
 def test_an_order_is_answered_once_it_is_carried_out():
     desk = Desk()
     assert desk.call(b"cordon s-1\r\n") == b"+OK s-1\n"
-    assert desk.carried == [Order("cordon", "s-1")]
+    assert desk.carried == [AdminCommand("cordon", "s-1")]
 
 
 @pytest.mark.parametrize(
@@ -106,21 +106,21 @@
 
 def test_silent_callers_keep_nobody_out_and_hold_no_more_than_their_places():
     desk = Desk()
-    silent = [desk.connect() for _ in range(3 * admin_server_module.CALLERS)]
+    silent = [desk.connect() for _ in range(3 * admin_server_module.MAX_ADMIN_CALLERS)]
     assert desk.call(b"health\n") == b"+OK\n"
-    assert until(lambda: desk.admin_server.held <= admin_server_module.CALLERS)
+    assert until(lambda: desk.admin_server.open_callers <= admin_server_module.MAX_ADMIN_CALLERS)
     assert silent[0].hear(end=b"never") == b""
 
 
 def test_a_silent_caller_is_let_go_in_time(monkeypatch):
-    monkeypatch.setattr(admin_server_module, "WITHIN", 0.01)
+    monkeypatch.setattr(admin_server_module, "LINE_TIMEOUT_S", 0.01)
     desk = Desk()
     assert desk.connect().hear(end=b"never") == b""
-    assert until(lambda: not desk.admin_server.held)
+    assert until(lambda: not desk.admin_server.open_callers)
 
 
 def test_an_order_that_is_not_done_in_time_is_refused(monkeypatch):
-    monkeypatch.setattr(admin_server_module, "ANSWERED", 0.01)
+    monkeypatch.setattr(admin_server_module, "COMMAND_TIMEOUT_S", 0.01)
     desk = Desk(carry_out=lambda order: gevent.sleep(5))
     assert desk.call(b"quiesce\n").startswith(b"-ERR ")
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -2,7 +2,13 @@
 
 import pytest
 
-from nettledeal.net.protocol.bodies import BodyUntilClose, ChunkedBody, Malformed, SizedBody, chunk
+from nettledeal.net.protocol.bodies import (
+    BodyUntilClose,
+    ChunkedBody,
+    MalformedMessage,
+    SizedBody,
+    encode_chunk,
+)
 
 MOST = 100_000
 PAYLOAD = bytes(range(256)) * 8
@@ -44,13 +50,13 @@
     make, text, payload, behind = FORMS[form]
     body, found, used = make(), b"", 0
     for piece in cuts(text + behind, how):
-        if body.done:
+        if body.is_complete:
             break
         found += b"".join(body.feed(memoryview(piece)))
-        used += body.used
-    assert found == payload and body.size == len(payload)
+        used += body.consumed_bytes
+    assert found == payload and body.payload_bytes == len(payload)
     assert used == len(text)
-    assert body.end() and body.done
+    assert body.finish_at_eof() and body.is_complete
 
 
 @pytest.mark.parametrize("form", ["told", "chunked", "trailers"])
@@ -59,7 +65,7 @@
     for end in range(len(text)):
         body = make()
         body.feed(memoryview(text[:end]))
-        assert not body.end(), end
+        assert not body.finish_at_eof(), end
 
 
 BAD = [
@@ -92,20 +98,20 @@
 @pytest.mark.parametrize("text", BAD)
 def test_chunks_that_another_reader_may_read_otherwise_are_refused(text, how):
     body = ChunkedBody(MOST)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         for piece in cuts(text, how):
             body.feed(memoryview(piece))
-        assert not body.done
+        assert not body.is_complete
         raise AssertionError("taken")
 
 
 def test_no_body_grows_beyond_what_is_allowed():
     body = BodyUntilClose(10)
     body.feed(memoryview(bytes(10)))
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         body.feed(memoryview(b"x"))
 
 
 def test_a_chunk_of_nothing_is_none_since_it_would_end_the_body():
-    assert b"".join(chunk([])) == b""
-    assert b"".join(chunk([memoryview(b"ab"), b"c"])) == b"3\r\nabc\r\n"
+    assert b"".join(encode_chunk([])) == b""
+    assert b"".join(encode_chunk([memoryview(b"ab"), b"c"])) == b"3\r\nabc\r\n"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -130,31 +130,31 @@
 
 def test_processes_that_live_are_found_and_their_records_are_whole(tmp_path):
     one, other = HandoverFolder(tmp_path, "a"), HandoverFolder(tmp_path, "b")
-    assert one.look(read) == [] and one.shared, "it lives, and has said nothing yet"
+    assert one.read_others(read) == [] and one.has_others, "it lives, and has said nothing yet"
     write(other, process("b", 2))
-    assert [record.id for record in one.look(read)] == ["b"]
+    assert [record.id for record in one.read_others(read)] == ["b"]
     (tmp_path / "nettledeal-b.record").write_bytes(WHOLE[:30])
-    assert one.look(read) == []
-    other.clear()
-    assert one.look(read) == [] and not one.shared
+    assert one.read_others(read) == []
+    other.remove()
+    assert one.read_others(read) == [] and not one.has_others
 
 
 def test_what_the_dead_have_left_goes(tmp_path):
     one = HandoverFolder(tmp_path, "a")
     other = HandoverFolder(tmp_path, "b")
     write(other, process("b", 2))
-    os.close(other.lock)  # as the kernel does, however it died
+    os.close(other.lock_fd)  # as the kernel does, however it died
     (tmp_path / "foreign").write_text("x")
-    assert one.look(read) == []
+    assert one.read_others(read) == []
     assert sorted(place.name for place in tmp_path.iterdir()) == ["foreign", "nettledeal-a.lock"]
 
 
 def test_alone_there_is_nothing_to_look_at(tmp_path):
     one = HandoverFolder(tmp_path, "a")
-    one.look(read)
-    assert not one.stirs
+    one.read_others(read)
+    assert not one.may_have_changed
     HandoverFolder(tmp_path, "b")
-    assert one.stirs
+    assert one.may_have_changed
 
 
 def test_a_killed_process_does_not_live(tmp_path):
@@ -171,12 +171,12 @@
         env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
     )
     assert other.stdout.readline() == "there\n"
-    one.look(read)
-    assert one.shared
+    one.read_others(read)
+    assert one.has_others
     other.send_signal(signal.SIGKILL)
     other.wait()
-    one.look(read)
-    assert not one.shared
+    one.read_others(read)
+    assert not one.has_others
     other.stdout.close()
 
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -6,11 +6,11 @@
 from gevent import socket
 from helpers import ListenerRig, asked, until
 
-from nettledeal.net.protocol.client import RequestReader, answer
+from nettledeal.net.protocol.client import RequestReader, response_head
 from nettledeal.net.transport import client_connection
 from nettledeal.net.transport import listener as listener_module
 from nettledeal.net.transport import sockets as sockets_module
-from nettledeal.net.transport.sockets import hung_up, peek
+from nettledeal.net.transport.sockets import peek_byte, peer_closed
 
 
 def test_a_connection_carries_one_request_after_another():
@@ -20,7 +20,7 @@
         # The event that bytes set was never cleared: every answer was followed by the end.
         assert client.send(asked(b"r%d" % n)).hear().endswith(b"hi"), n
     assert len(rig.listener.connections) == 1
-    assert [b"ID: r%d" % n in taken[0].head for n, taken in enumerate(rig.taken)] == [True] * 3
+    assert [b"ID: r%d" % n in taken[0].forwarded_headers for n, taken in enumerate(rig.taken)] == [True] * 3
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,9 @@
     while b"two" not in seen:
         seen += client.hear(end=b"two")
     assert seen.index(b"one") < seen.index(b"two")
-    assert [b"ID: r%d" % n in taken[0].head for n, taken in enumerate(rig.taken, 1)] == [True] * 2
+    assert [b"ID: r%d" % n in taken[0].forwarded_headers for n, taken in enumerate(rig.taken, 1)] == [
+        True
+    ] * 2
 
 
 def test_bytes_behind_a_request_that_waits_are_kept_for_their_turn():
@@ -147,7 +149,7 @@
 def test_silent_clients_give_up_their_places():
     rig = ListenerRig(most=2)
     silent = [rig.connect() for _ in range(2)]
-    assert until(lambda: len(rig.listener.strangers) == 2)
+    assert until(lambda: len(rig.listener.unserved) == 2)
     gevent.sleep(0.11)
     assert rig.connect().send(asked()).hear().startswith(b"HTTP/1.1 200 ")
     assert silent[0].hear() == b""
@@ -162,7 +164,7 @@
 
 
 def test_slow_clients_give_up_their_places(monkeypatch):
-    monkeypatch.setattr(listener_module, "DAWDLES", 0)
+    monkeypatch.setattr(listener_module, "SLOW_REQUEST_TENTHS", 0)
     rig = ListenerRig(most=1)
     slow = rig.connect().send(asked()[:20])
     assert until(lambda: rig.listener.reading)
@@ -172,7 +174,7 @@
 
 
 def test_hundreds_that_say_nothing_do_not_drive_out_a_usual_client(monkeypatch):
-    monkeypatch.setattr(listener_module, "NEW", 0)
+    monkeypatch.setattr(listener_module, "NEW_CONNECTION_TENTHS", 0)
     rig = ListenerRig(most=4)
     usual = rig.connect()
     assert usual.send(asked()).hear().endswith(b"hi")
@@ -184,7 +186,7 @@
 
 @pytest.mark.parametrize("trickle", [False, True])
 def test_a_request_that_never_comes_whole_is_answered(monkeypatch, trickle):
-    monkeypatch.setattr(client_connection, "HEAD", 0.05)
+    monkeypatch.setattr(client_connection, "HEAD_TIMEOUT_S", 0.05)
     rig = ListenerRig()
     client = rig.connect().send(asked()[:-30])
     for n in range(-30, -1):
@@ -197,7 +199,7 @@
 
 
 def test_a_connection_that_never_says_anything_is_closed(monkeypatch):
-    monkeypatch.setattr(client_connection, "HEAD", 0.02)
+    monkeypatch.setattr(client_connection, "HEAD_TIMEOUT_S", 0.02)
     rig = ListenerRig()
     assert rig.connect().hear() == b""
     assert until(lambda: not rig.listener.connections)
@@ -205,7 +207,7 @@
 
 @pytest.mark.parametrize(("most", "closed"), [(1, True), (8, False)])
 def test_connections_rest_for_less_while_places_are_short(monkeypatch, most, closed):
-    monkeypatch.setattr(client_connection, "RESTS_SHORT", 0.01)
+    monkeypatch.setattr(client_connection, "CROWDED_IDLE_TIMEOUT_S", 0.01)
     rig = ListenerRig(most=most)
     client = rig.connect().send(asked())
     client.hear()
@@ -227,13 +229,13 @@
 
 @pytest.mark.parametrize("served", [True, False])
 def test_newcomers_that_come_together_end_one_each(served, monkeypatch):
-    monkeypatch.setattr(listener_module, "NEW", 0)
+    monkeypatch.setattr(listener_module, "NEW_CONNECTION_TENTHS", 0)
     rig = ListenerRig(most=10)
     peers = [rig.connect() for _ in range(6)]
     for n, peer in enumerate(peers):
         if served:
             assert peer.send(asked(b"r%d" % n)).hear().endswith(b"hi")
-    assert until(lambda: len(rig.listener.idle) + len(rig.listener.strangers) == 6)
+    assert until(lambda: len(rig.listener.idle) + len(rig.listener.unserved) == 6)
     # All in the queue before the listener's turn: the first of those that rest had been told four times.
     newcomers = [plain.create_connection(rig.listener.sock.getsockname()) for _ in range(4)]
     assert until(lambda: len(rig.listener.connections) == 6)
@@ -248,7 +250,7 @@
     with pytest.raises(OSError):
         while True:
             client.send(bytes(1_000_000))
-    assert not rig.listener.memory.held and until(lambda: not rig.listener.connections)
+    assert not rig.listener.memory.used_bytes and until(lambda: not rig.listener.connections)
 
 
 def test_requests_beyond_the_memory_are_deferred():
@@ -261,7 +263,7 @@
     rig = ListenerRig(hold=True)
     resting, waiting = rig.connect(), rig.connect()
     waiting.send(asked())
-    assert until(lambda: rig.taken and len(rig.listener.strangers) == 1)
+    assert until(lambda: rig.taken and len(rig.listener.unserved) == 1)
     rig.listener.draining = True
     rig.listener.close_idle()
     assert resting.hear() == b""
@@ -280,13 +282,13 @@
     ("retry_after", "text"), [(0, None), (1, b"0.0001"), (5_000, b"0.5"), (20_000, b"2"), (12_345, b"1.2345")]
 )
 def test_the_time_to_come_back_is_told_in_seconds(retry_after, text):
-    head = answer(HTTPStatus.SERVICE_UNAVAILABLE, b"", keep=True, retry_after=retry_after)
+    head = response_head(HTTPStatus.SERVICE_UNAVAILABLE, b"", keep_alive=True, retry_after=retry_after)
     assert (b"Retry-After: %b\r\n" % text in head) if text else (b"Retry-After" not in head)
 
 
 def test_a_drained_listener_says_no_serves_on_and_ends_all_that_rest(monkeypatch):
-    monkeypatch.setattr(listener_module, "EMPTYING", ((0.02, 0.0),))
-    monkeypatch.setattr(listener_module, "EMPTIED", 0)
+    monkeypatch.setattr(listener_module, "DRAIN_STEPS_S", ((0.02, 0.0),))
+    monkeypatch.setattr(listener_module, "DRAINED_IDLE_TENTHS", 0)
     rig = ListenerRig(hold=True)
     health = b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
     resting, waiting, cut = rig.connect(), rig.connect(), rig.connect()
@@ -315,7 +317,7 @@
 
 
 def test_a_drain_ended_early_ends_nobody(monkeypatch):
-    monkeypatch.setattr(listener_module, "EMPTYING", ((0.02, 0.0),))
+    monkeypatch.setattr(listener_module, "DRAIN_STEPS_S", ((0.02, 0.0),))
     rig = ListenerRig()
     resting = rig.connect()
     assert resting.send(asked()).hear()
@@ -350,7 +352,7 @@
 
 def test_nothing_behind_a_body_that_was_answered_early_is_taken():
     rig = ListenerRig()
-    rig.listener.longest = 1_000_000
+    rig.listener.max_body_bytes = 1_000_000
     body = 200_000 * b"x"
     client = rig.connect().send(asked(b"r1", body=body)[:-130_000])
     assert client.hear().startswith(b"HTTP/1.1 200 ")
@@ -358,7 +360,7 @@
     client.send(body[:130_000] + asked(b"r2"))
     assert client.hear() == b""
     assert until(lambda: not rig.listener.connections)
-    assert [b"ID: r1" in taken[0].head for taken in rig.taken] == [True]
+    assert [b"ID: r1" in taken[0].forwarded_headers for taken in rig.taken] == [True]
 
 
 @pytest.mark.parametrize(
@@ -370,12 +372,12 @@
     if not sent and not ended:
         # What comes between two looks is no end either.
         def look(sock):
-            found = peek(sock)
+            found = peek_byte(sock)
             far.send(b"just now")
             return found
 
-        monkeypatch.setattr(sockets_module, "peek", look)
+        monkeypatch.setattr(sockets_module, "peek_byte", look)
     far.sendall(sent)
     if ended:
         far.close()
-    assert hung_up(near) is seen
+    assert peer_closed(near) is seen
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -121,8 +121,10 @@
 def test_an_owner_on_loopback_counts_what_it_began_afresh_and_serves_on():
     desk = Desk()
     pending, _ = desk.take()
-    desk.router.retune(MOVED | {"categories.0.name": "read", "categories.1.name": "write"}, {}, {}, 100)
-    desk.out().done(Reply(Outcome.FINISHED, report={}))
+    desk.router.update_settings(
+        MOVED | {"categories.0.name": "read", "categories.1.name": "write"}, {}, {}, 100
+    )
+    desk.out().on_reply(Reply(Outcome.FINISHED, report={}))
     assert desk.answered(pending).value == 200
     assert desk.counters["begun afresh: limit"] == 1
     assert len(desk.router.balancer.state.subsets[0]) <= SUBSET
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 from nettledeal import configuration, peers
 from nettledeal.configuration_files import ConfigError
 from nettledeal.membership.dealing import deal
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 
 CATEGORY = {"name": "b", "effect": "safe", "expiry": 4_000_000_000, "due_time": 1_000_000_000}
 
@@ -49,7 +49,7 @@
         self.doors, self.listens, self.lines, self.processes, self.told_of = [], [], [], [], []
         talk = [(place[0], free_place()[1]) for place in places(count)]
         entries = [
-            {"instanceId": f"s{n}", "hostPort": written(far.address), "zone": "a", "startedAtMs": 0}
+            {"instanceId": f"s{n}", "hostPort": format_address(far.address), "zone": "a", "startedAtMs": 0}
             for n, far in enumerate(fars)
         ]
         for n in range(count):
@@ -59,15 +59,15 @@
             self.listens.append(free_place())
             told = {
                 "name": f"a{n}",
-                "listen": written(self.listens[n]),
+                "listen": format_address(self.listens[n]),
                 "discovery": "127.0.0.1:1",
                 "seed": "5",
-                "admin_addr": written(self.doors[n]),
+                "admin_addr": format_address(self.doors[n]),
                 "log_level": "info",
                 "known": {"generation": 1, "reset": True, "instances": entries},
                 "membership": {
-                    "listen": written(talk[n]),
-                    "seeds": [written(talk[0])],
+                    "listen": format_address(talk[n]),
+                    "seeds": [format_address(talk[0])],
                     "period_ms": 200,
                     "probe_ms": 80,
                     "suspicion_ms": 1500,
@@ -129,7 +129,7 @@
         assert len(fars[0].peers) == before
         # The same by the command line; and one that dies is told as such, with who accused it.
         shown = subprocess.run(
-            [sys.executable, "-m", "nettledeal", "members", written(agents.doors[1]), "--json"],
+            [sys.executable, "-m", "nettledeal", "members", format_address(agents.doors[1]), "--json"],
             capture_output=True,
             text=True,
             env={"PYTHONPATH": SRC},
@@ -149,7 +149,7 @@
     with Agents(tmp_path, 3, []) as agents:
         assert until(lambda: all(agents.told(n, '"agents counted"') for n in range(3)), 40)
         agents.doors.append(free_place())
-        agents._begin(2, admin_addr=written(agents.doors[3]))
+        agents._begin(2, admin_addr=format_address(agents.doors[3]))
         assert until(lambda: agents.told(3, '"started"'), 40)
         assert until(lambda: agents.told(2, '"processes of this agent"'), 40)
         agents.processes[2].terminate()
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -8,13 +8,13 @@
 from helpers import SECOND, Far, replies, served, until
 
 from nettledeal.model import Outcome
-from nettledeal.net.clock import GLANCE, Clock
+from nettledeal.net.clock import MAX_POLL_NS, Clock
 from nettledeal.net.counters import Counters
-from nettledeal.net.transport import pools as pools_module
-from nettledeal.net.transport.budget import Budget, shares
+from nettledeal.net.transport import backend_pools as backend_pools_module
+from nettledeal.net.transport.backend_pools import BackendPools
+from nettledeal.net.transport.budget import ConnectionBudget, split_resources
 from nettledeal.net.transport.buffers import MemoryPool
 from nettledeal.net.transport.exchange import Exchange
-from nettledeal.net.transport.pools import Pools
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -27,13 +27,15 @@
     def __init__(self, address, most=8, idle=60 * SECOND, memory=4_000_000):
         self.counters = Counters()
         self.memory = MemoryPool(memory)
-        self.pools = Pools(Clock(), self.counters, Budget(most), self.memory, 40_000_000, SECOND, idle)
-        self.pools.place("b", address)
+        self.pools = BackendPools(
+            Clock(), self.counters, ConnectionBudget(most), self.memory, 40_000_000, SECOND, idle
+        )
+        self.pools.set_address("b", address)
 
     def start(self, wait=5 * SECOND, body=b"", backend="b", probe=False):
         back = []
         exchange = Exchange([HEAD, body], self.pools.clock.now() + wait, back.append, probe)
-        if not self.pools.carry(backend, exchange):
+        if not self.pools.send(backend, exchange):
             return exchange, None
         return exchange, back
 
@@ -141,7 +143,7 @@
 
     ways = Ways(Far(later).address)
     for _ in range(2):
-        assert ways.send().took >= 300
+        assert ways.send().duration >= 300
 
 
 class Hands:
@@ -160,7 +162,7 @@
     ("looked", "resting", "woke", "came"),
     [
         (0, 100_000_000, 100_000_000, 500),  # found at once: anywhere while the agent was at work
-        (0, 100_000_000, 100_000_000 + GLANCE, 501),
+        (0, 100_000_000, 100_000_000 + MAX_POLL_NS, 501),
         (0, 100_000_000, 101_000_000, 1010),  # it rested, and woke for this
         (90_000_000, 90_000_000, 101_000_000, 1010),
     ],
@@ -171,11 +173,11 @@
     hands = Hands()
     monkeypatch.setattr("nettledeal.net.clock.time", hands)
     clock = Clock()
-    clock.looked, hands.at = looked, resting
-    clock._rest()
+    clock.last_poll_ns, hands.at = looked, resting
+    clock._before_wait()
     hands.at = woke
-    clock._wake()
-    assert clock.came() == came
+    clock._after_wait()
+    assert clock.arrival_time() == came
 
 
 def test_what_came_while_the_agent_was_at_work_is_older_than_it_looks(monkeypatch):
@@ -184,7 +186,7 @@
     clock, seen = Clock(), []
     clock.attend()
     near, far = socket.socketpair()
-    gevent.spawn(lambda: (far.recv(1), seen.append((clock.came(), clock.now()))))
+    gevent.spawn(lambda: (far.recv(1), seen.append((clock.arrival_time(), clock.now()))))
     gevent.sleep(0.001)
     near.sendall(b"x")
     hands.at += 100_000_000  # the loop stands still
@@ -215,25 +217,25 @@
 
 def test_patience_for_a_connection_goes_by_what_others_took_and_grows_when_it_was_too_short():
     pools = Ways(("127.0.0.1", 9)).pools
-    assert pools.patience == SECOND
-    pools.connected(5)
-    assert pools.patience == pools_module.QUICK
+    assert pools.current_connect_timeout == SECOND
+    pools.record_connect(5)
+    assert pools.current_connect_timeout == backend_pools_module.MIN_CONNECT_TIMEOUT_TENTHS
     for _ in range(40):
-        pools.connected(None)
-    assert pools.patience == SECOND
-    pools.connected(200)
+        pools.record_connect(None)
+    assert pools.current_connect_timeout == SECOND
+    pools.record_connect(200)
     for _ in range(20):
-        pools.connected(60)
-    assert pools.patience == 480
+        pools.record_connect(60)
+    assert pools.current_connect_timeout == 480
 
 
 def test_a_connection_lost_on_its_way_is_given_up_for_another_in_time():
     sock, _keep = swallows()
     ways = Ways(Far(replies(served())).address)
     ways.send()
-    ways.pools.place("lost", sock.getsockname())
+    ways.pools.set_address("lost", sock.getsockname())
     reply = ways.send(backend="lost", wait=20 * SECOND)
-    assert reply.outcome is Outcome.UNREACHABLE and reply.took < ways.pools.connect_within
+    assert reply.outcome is Outcome.UNREACHABLE and reply.duration < ways.pools.max_connect_timeout
 
 
 def test_what_is_late_before_it_is_sent_is_not_sent_and_costs_no_connection():
@@ -260,10 +262,10 @@
     ways = Ways(far.address)
     waiting = [ways.start()[1] for _ in range(3)]
     assert until(lambda: all(waiting))
-    last = ways.pools.pools["b"].resting[-1]
+    last = ways.pools.pools["b"].idle[-1]
     ways.send()
     assert ways.opened == 3
-    assert ways.pools.pools["b"].resting[-1] is last
+    assert ways.pools.pools["b"].idle[-1] is last
 
 
 @pytest.mark.parametrize(
@@ -301,27 +303,27 @@
 def test_connections_that_rest_end_well_before_the_backend_ends_them():
     ways = Ways(Far(replies(served())).address, idle=400)
     ways.send()
-    assert ways.pools.rest_for <= 200
-    assert until(lambda: not ways.pools.budget.held)
+    assert ways.pools.max_idle <= 200
+    assert until(lambda: not ways.pools.budget.in_use)
 
 
 def test_dropped_while_it_is_out():
     far = Far(hush)
     ways = Ways(far.address)
     exchange, back = ways.start()
-    assert until(lambda: exchange.written)
-    exchange.drop()
+    assert until(lambda: exchange.fully_written)
+    exchange.cancel()
     assert until(lambda: back)
     assert back[0].outcome is Outcome.RECALLED
-    assert until(lambda: not ways.pools.budget.held)
+    assert until(lambda: not ways.pools.budget.in_use)
 
 
 @pytest.mark.parametrize("drops", [False, True])
 def test_a_hand_off_given_up_has_ended_before_whoever_repeats_it_hears_of_it(drops):
     ways, told, open_then = Ways(Far(hush).address), SimpleQueue(), []
     exchange = Exchange([HEAD], ways.pools.clock.now() + SECOND // 20, told.put)
-    assert ways.pools.carry("b", exchange)
-    assert until(lambda: exchange.written)
+    assert ways.pools.send("b", exchange)
+    assert until(lambda: exchange.fully_written)
     sock = exchange.connection.sock._sock
 
     def repeat():
@@ -331,7 +333,7 @@
 
     gevent.spawn(repeat)
     if drops:
-        exchange.drop()
+        exchange.cancel()
     assert until(lambda: open_then)
     assert open_then == [False]
 
@@ -342,11 +344,11 @@
     ways = Ways(far.address)
     exchange, back = ways.start()
     if end == "dropped":
-        exchange.drop()
+        exchange.cancel()
     elif end == "gone":
-        ways.pools.drop("b")
+        ways.pools.remove("b")
     else:
-        ways.pools.place("b", ("127.0.0.2", 9))
+        ways.pools.set_address("b", ("127.0.0.2", 9))
     assert until(lambda: back)
     assert back[0].outcome is Outcome.UNSENT
     assert not far.peers or until(lambda: far.peers[0].heard == [])
@@ -356,9 +358,9 @@
     old, new = Far(replies(served(b"old"))), Far(replies(served(b"new")))
     ways = Ways(old.address)
     assert bytes(ways.send().body) == b"old"
-    ways.pools.place("b", new.address)
+    ways.pools.set_address("b", new.address)
     assert bytes(ways.send().body) == b"new"
-    assert until(lambda: ways.pools.budget.held == 1)
+    assert until(lambda: ways.pools.budget.in_use == 1)
 
 
 def test_the_answer_outlives_the_next_one_on_its_connection():
@@ -373,14 +375,14 @@
 def test_the_budget_holds_and_resting_connections_make_room():
     far, other = Far(hush), Far(replies(served()))
     ways = Ways(far.address, most=2)
-    ways.pools.place("c", other.address)
+    ways.pools.set_address("c", other.address)
     assert ways.send(backend="c").outcome is Outcome.FINISHED
     ways.start()
     # Probes take no one's place: where sockets are few, connections would be opened anew all the time.
     assert ways.start(probe=True)[1] is None
     assert ways.start()[1] is not None  # the one to c gave way
     assert ways.start()[1] is None
-    assert ways.pools.budget.held == 2
+    assert ways.pools.budget.in_use == 2
 
 
 def test_answers_on_their_way_stay_within_the_memory_for_them():
@@ -389,11 +391,11 @@
     # Each keeps its buffer for as long as somebody holds a slice of it, also after its connection went on.
     while (reply := ways.send()).outcome is Outcome.FINISHED:
         kept.append(reply)
-        assert 60_000 * len(kept) <= ways.memory.held <= 360_000
+        assert 60_000 * len(kept) <= ways.memory.used_bytes <= 360_000
     assert len(kept) >= 4 and reply.outcome is Outcome.RESET
     del kept[:]
     # Nor does a connection that rests keep its last one.
-    assert until(lambda: not ways.memory.held)
+    assert until(lambda: not ways.memory.used_bytes)
     assert ways.send().outcome is Outcome.FINISHED
 
 
@@ -401,11 +403,11 @@
     ("sockets", "memory"), [(32, 64), (256, 32), (1024, 32), (64, 192), (1024, 64), (1024, 192), (4096, 2048)]
 )
 def test_shares_stay_within_what_is_told(sockets, memory):
-    within = shares(sockets, memory)
-    assert within.clients.most >= 4 <= within.backends.most
-    whole = within.clients.most + within.backends.most
+    within = split_resources(sockets, memory)
+    assert within.clients.limit >= 4 <= within.backends.limit
+    whole = within.clients.limit + within.backends.limit
     assert whole <= sockets
-    assert whole * 12 * 1024 + within.requests.most + within.answers.most <= (memory - 20) * 1024 * 1024
+    assert whole * 12 * 1024 + within.requests.limit + within.answers.limit <= (memory - 20) * 1024 * 1024
 
 
 @pytest.mark.parametrize("dropped", [False, True])
@@ -422,9 +424,9 @@
 
     ways = Ways(Far(script).address)
     exchange, back = ways.start(wait=5 * SECOND if dropped else 300)
-    assert until(lambda: exchange.written)
+    assert until(lambda: exchange.fully_written)
     if dropped:
-        exchange.drop()
+        exchange.cancel()
     assert until(lambda: back and seen)
     assert back[0].outcome is (Outcome.RECALLED if dropped else Outcome.OVERDUE)
     assert seen == [ConnectionResetError]
@@ -433,7 +435,7 @@
 @pytest.mark.parametrize(
     ("field", "counter"),
     [
-        ("wanted", "hand-offs whose client left before they were sent"),
+        ("is_wanted", "hand-offs whose client left before they were sent"),
         ("begin_by", "repeats past their window before they were sent"),
     ],
 )
@@ -442,15 +444,15 @@
     far = Far(lambda peer: heard.append(peer.hear()))
     ways, back = Ways(far.address), []
     exchange = Exchange([HEAD, b""], ways.pools.clock.now() + 5 * SECOND, back.append)
-    connected = ways.pools.connected
+    connected = ways.pools.record_connect
 
     def up(took):
         # Whatever was so when the connection was begun.
         connected(took)
-        setattr(exchange, field, (lambda: False) if field == "wanted" else ways.pools.clock.now())
+        setattr(exchange, field, (lambda: False) if field == "is_wanted" else ways.pools.clock.now())
 
-    ways.pools.connected = up
-    ways.pools.carry("b", exchange)
+    ways.pools.record_connect = up
+    ways.pools.send("b", exchange)
     assert until(lambda: back)
     assert (back[0].outcome, ways.opened, ways.counters[counter]) == (Outcome.UNSENT, 1, 1)
     # The connection is sound: it is kept, and the next one goes out on it.
@@ -475,7 +477,7 @@
     def send(n):
         back = []
         exchange = Exchange([HEAD.replace(b"r1", b"r%d" % n)], ways.pools.clock.now() + SECOND, back.append)
-        assert ways.pools.carry("b", exchange)
+        assert ways.pools.send("b", exchange)
         # Right behind the next request, which is written at the greenlet's turn.
         late[b"r%d" % (n - 1)].set()
         assert until(lambda: back)
@@ -484,7 +486,7 @@
     # Seen once on a connection that rests, and from then on looked out for.
     send(1)
     late[b"r1"].set()
-    assert until(lambda: not ways.pools.budget.held)
+    assert until(lambda: not ways.pools.budget.in_use)
     for n in range(2, 9):
         send(n)
     assert bodies == [b"r%d" % n for n in range(1, 9)]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,7 +12,7 @@
 
 from nettledeal.configuration import check, read
 from nettledeal.configuration_files import ConfigError, address
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 
 SRC = str(Path(__file__).parents[1] / "src")
 TOLD = {
@@ -117,14 +117,14 @@
 
 def test_a_door_that_cannot_be_opened_ends_the_start_and_an_open_one_takes_orders(tmp_path):
     far = Far(replies(served(b"from afar")))
-    entry = {"instanceId": "s1", "hostPort": written(far.address), "zone": "a"}
+    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
     place, door = free_place(), free_place()
     told = {
         **TOLD,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
-        "listen": written(place),
+        "listen": format_address(place),
         "discovery": "127.0.0.1:1",
-        "admin_addr": written(door),
+        "admin_addr": format_address(door),
     }
     agent = start(tmp_path, json.dumps(told).encode())
 
@@ -168,10 +168,10 @@
 
     reached = []
     far = Far(script)
-    entry = {"instanceId": "s1", "hostPort": written(far.address), "zone": "a"}
+    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
     told = {**TOLD, "known": {"generation": 1, "reset": True, "instances": [entry]}}
     place = free_place()
-    told |= {"listen": written(place), "discovery": "127.0.0.1:1"}
+    told |= {"listen": format_address(place), "discovery": "127.0.0.1:1"}
     agent = start(tmp_path, json.dumps(told).encode())
     try:
         assert "started" in agent.stderr.readline()
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_an_order_to_end_amid_the_start_is_followed_once_it_can_be(tmp_path, number):
     place = free_place()
-    told = {**TOLD, "listen": written(place), "discovery": "127.0.0.1:1"}
+    told = {**TOLD, "listen": format_address(place), "discovery": "127.0.0.1:1"}
     agent = start(tmp_path, json.dumps(told).encode())
     try:
         blocked(agent)
@@ -221,12 +221,12 @@
 def test_clients_that_go_on_coming_do_not_put_off_the_end(tmp_path):
     told_to_end = Event()
     far = Far(lambda peer: peer.hear() and told_to_end.wait() and peer.send(served(b"from afar")))
-    entry = {"instanceId": "s1", "hostPort": written(far.address), "zone": "a"}
+    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
     place = free_place()
     told = {
         **TOLD,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
-        "listen": written(place),
+        "listen": format_address(place),
         "discovery": "127.0.0.1:1",
     }
     agent = start(tmp_path, json.dumps(told).encode())
@@ -255,7 +255,7 @@
 
 def test_an_order_to_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
     def entry(place):
-        return {"instanceId": "s1", "hostPort": written(place), "zone": "a"}
+        return {"instanceId": "s1", "hostPort": format_address(place), "zone": "a"}
 
     def discovery(far):
         whole = {"generation": 1, "reset": True, "instances": [entry(far.address)]}
@@ -264,7 +264,7 @@
     far = Far(replies(served(b"first")))
     lists = [discovery(far), discovery(Far(replies(served(b"second"))))]
     place = free_place()
-    told = {**TOLD, "listen": written(place), "discovery": written(lists[0].address)}
+    told = {**TOLD, "listen": format_address(place), "discovery": format_address(lists[0].address)}
     agent = start(tmp_path, json.dumps(told).encode())
     blocked(agent)
     agent.send_signal(signal.SIGHUP)
@@ -280,7 +280,7 @@
         refused = agent.stderr.readline()
         assert "refused" in refused and "discovery: " in refused
         assert client.send(asked(b"r2")).hear().endswith(b"first")
-        told |= {"discovery": written(lists[1].address)}
+        told |= {"discovery": format_address(lists[1].address)}
         told["limits"] = TOLD["limits"] | {"sockets": 128}
         file.write_text(json.dumps(told))
         for _ in range(3):
