--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -3,10 +3,10 @@
 from nettledeal.model import Life, Listing
 from nettledeal.net.protocol import backend
 from nettledeal.net.protocol.backend import ResponseReader
-from nettledeal.net.protocol.catalogue import Catalogue, Garbled
+from nettledeal.net.protocol.catalogue import Catalogue, MalformedCatalogue
 from nettledeal.net.protocol.client import RequestReader
-from nettledeal.net.protocol.framing import Malformed
-from nettledeal.net.protocol.reports import report
+from nettledeal.net.protocol.framing import MalformedMessage
+from nettledeal.net.protocol.load_report import parse_load_report
 
 HEAD = b"POST /api?x=1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\n"
 
@@ -16,8 +16,8 @@
     buffer = bytearray(text)
     # However it is cut, the message is the same.
     for filled in range(len(buffer)):
-        assert reader.look(buffer, filled) is None
-    assert reader.look(buffer, len(buffer)) == len(buffer)
+        assert reader.parse(buffer, filled) is None
+    assert reader.parse(buffer, len(buffer)) == len(buffer)
     return reader.request()
 
 
@@ -26,11 +26,11 @@
     [
         (b"X-Priority-Class: chart\r\n", "category", "chart"),
         (b"", "category", ""),
-        (b"X-Timeout-Ms: 480\r\n", "wait", 4800),
-        (b"", "wait", None),
-        (b"X-Retried: 1\r\n", "again", True),
-        (b"X-Retried: 0\r\n", "again", False),
-        (b"", "again", False),
+        (b"X-Timeout-Ms: 480\r\n", "timeout", 4800),
+        (b"", "timeout", None),
+        (b"X-Retried: 1\r\n", "is_retry", True),
+        (b"X-Retried: 0\r\n", "is_retry", False),
+        (b"", "is_retry", False),
         (b"X-Attrs: billing=3,effort=12050001,partition_key=ab,more=1\r\n", "customer", "3"),
         (b"X-Attrs: billing=3, partition_key=ab\r\n", "key", "ab"),
         # What cannot be read says nothing.
@@ -66,18 +66,18 @@
     ],
 )
 def test_requests_that_make_no_sense(text):
-    with pytest.raises(Malformed):
-        RequestReader().look(bytearray(text), len(text))
+    with pytest.raises(MalformedMessage):
+        RequestReader().parse(bytearray(text), len(text))
 
 
 def test_empty_lines_before_a_request_are_no_request():
-    assert read(b"\r\n\r\n" + HEAD + b"\r\n").head == HEAD.partition(b"\r\n")[2]
+    assert read(b"\r\n\r\n" + HEAD + b"\r\n").forwarded_headers == HEAD.partition(b"\r\n")[2]
 
 
 def test_a_hand_off_goes_on_as_it_came():
     more = b"Route: 7\r\nAccept: a\r\nAccept: b\r\nConnection: x-hop\r\nX-Hop: 1\r\nTE: x\r\n"
     request = read(HEAD + more + b"X-Timeout-Ms: 900\r\n" + b"Content-Length: 4\r\n\r\nbody")
-    text = b"".join(backend.hand_off(request, 4567))
+    text = b"".join(backend.encode_hand_off(request, 4567))
     assert text.startswith(b"POST /api?x=1 HTTP/1.1\r\n")
     # What a line of the head means is for the two ends to know, unless it concerns the connection.
     for line in (b"Host: s", b"X-Request-ID: r1", b"Route: 7", b"Accept: a", b"Accept: b"):
@@ -90,9 +90,9 @@
 def test_an_answer_goes_back_with_its_lines_but_those_for_the_agent():
     text = b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Server-Load: queue=1\r\nContent-Length: 2\r\n\r\nok"
     replying = ResponseReader()
-    assert replying.look(bytearray(text), len(text)) == len(text)
+    assert replying.parse(bytearray(text), len(text)) == len(text)
     reply = replying.reply()
-    assert (bytes(reply.body), reply.lines) == (b"ok", b"Content-Type: a/b\r\n")
+    assert (bytes(reply.body), reply.headers) == (b"ok", b"Content-Type: a/b\r\n")
     assert reply.report == {"backlog": 1}
 
 
@@ -110,7 +110,7 @@
     ],
 )
 def test_load_reports(text, found):
-    assert report(text) == found
+    assert parse_load_report(text) == found
 
 
 ENTRY = b'{"instanceId":"s1","hostPort":"10.1.0.18:7070","zone":"b","machineType":"m2","cell":3'
@@ -142,16 +142,16 @@
     other = b'{"instanceId":"s2","hostPort":"10.1.0.19:7070"}'
     line = b'{"generation":4,"reset":true,"instances":[' + entry + b"," + other + b"]}"
     news = Catalogue(["a", "b"], ["m2"]).parse(line)
-    assert (news.generation, news.whole, news.unread) == (4, True, listing is None)
+    assert (news.generation, news.is_full, news.unreadable_entries) == (4, True, listing is None)
     # Changes are asked for from there, unless it has holes that none of them would fill.
-    assert news.base == (4 if listing else None)
+    assert news.resume_version == (4 if listing else None)
     assert news.listings[0] == listing if listing else len(news.listings) == 1
-    assert news.places["s2"] == ("10.1.0.19", 7070)
+    assert news.addresses["s2"] == ("10.1.0.19", 7070)
 
 
 @pytest.mark.parametrize(
     "line", [b"{", b"[]", b"{}", b'{"generation":"x","instances":[]}', b'{"generation":1}', b"\xff\xfe"]
 )
 def test_lines_that_make_no_sense(line):
-    with pytest.raises(Garbled):
+    with pytest.raises(MalformedCatalogue):
         Catalogue([], []).parse(line)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,10 +15,10 @@
 from nettledeal.net.transport import listener as listener_module
 from nettledeal.net.transport import relay as relay_module
 from nettledeal.net.transport.backend_connection import BackendConnection
-from nettledeal.net.transport.budget import Budget
+from nettledeal.net.transport.backend_pools import BackendPools
+from nettledeal.net.transport.budget import ConnectionBudget
 from nettledeal.net.transport.buffers import MemoryPool
 from nettledeal.net.transport.listener import Listener
-from nettledeal.net.transport.pools import Pools
 from nettledeal.policy.balancer import Balancer
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -29,8 +29,8 @@
     def __init__(self, *backends, memory=2_000_000, longest=40_000_000, most=32):
         self.clock, self.counters = Clock(), Counters()
         self.requests, self.answers = MemoryPool(memory), MemoryPool(memory)
-        self.pools = Pools(
-            self.clock, self.counters, Budget(most), self.answers, longest, SECOND, 60 * SECOND
+        self.pools = BackendPools(
+            self.clock, self.counters, ConnectionBudget(most), self.answers, longest, SECOND, 60 * SECOND
         )
         self.router = Router(
             Balancer(1, settings(), self.clock.now()),
@@ -41,8 +41,8 @@
             {},
             {},
             100,
-            probe_within=500,
-            reports=False,
+            probe_timeout=500,
+            request_reports=False,
             subscribe=lambda: None,
         )
         names = [f"b{n}" for n in range(len(backends))]
@@ -52,11 +52,11 @@
             ("127.0.0.1", 0),
             self.clock,
             self.counters,
-            Budget(most),
+            ConnectionBudget(most),
             self.requests,
-            self.router.offer,
-            self.router.gone,
-            self.router.overdue,
+            self.router.submit,
+            self.router.client_left,
+            self.router.answer_overdue,
             longest,
         )
         gevent.spawn(self.router.run)
@@ -67,7 +67,9 @@
 
     @property
     def rests(self):
-        return not (self.router.busy or self.listener.busy or self.requests.held or self.answers.held)
+        return not (
+            self.router.busy or self.listener.busy or self.requests.used_bytes or self.answers.used_bytes
+        )
 
 
 def ask(body=b"", category=b"write", id=b"r1", more=b"", length=True, version=b"1.1", method=b"POST"):
@@ -137,7 +139,7 @@
     assert payload(seen) == (LONG[:100_000] if form == "small chunks" else LONG)
     assert until(lambda: agent.rests)
     # One that was whole leaves its connection for the next.
-    assert agent.pools.budget.held == (not close)
+    assert agent.pools.budget.in_use == (not close)
 
 
 def test_a_connection_goes_on_behind_a_long_answer_at_either_end():
@@ -196,7 +198,7 @@
     assert seen.startswith(OK) and len(seen) < len(LONG)
     assert not seen.endswith(b"0\r\n\r\n")
     assert sum(len(far.peers) for far in fars) == 1
-    assert until(lambda: agent.rests and not agent.pools.budget.held)
+    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
 
 
 def test_who_reads_slowly_holds_up_who_sends_and_takes_one_window():
@@ -216,15 +218,15 @@
     assert client.sock.recv(100)
     gevent.sleep(0.1)
     assert sent[0] < 15_000_000
-    assert agent.answers.held <= 2 * 64 * 1024
+    assert agent.answers.used_bytes <= 2 * 64 * 1024
     client.sock.close()  # gone half-way: so is the backend's connection
-    assert until(lambda: agent.rests and not agent.pools.budget.held)
+    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
 
 
 @pytest.mark.parametrize("who", ["backend", "client"])
 def test_a_relay_in_which_nothing_moves_ends_and_is_counted(who, monkeypatch):
-    monkeypatch.setattr(relay_module, "STALLED", 0.1)
-    monkeypatch.setattr(relay_module, "STALLED_SHORT", 0.05)
+    monkeypatch.setattr(relay_module, "STALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(relay_module, "CROWDED_STALL_TIMEOUT_S", 0.05)
 
     def script(peer):
         peer.hear()
@@ -237,7 +239,7 @@
     agent = Agent(Far(script))
     client = agent.connect().send(ask())
     assert until(lambda: agent.counters["relays of answers stalled"] == 1)
-    assert until(lambda: not agent.pools.budget.held)
+    assert until(lambda: not agent.pools.budget.in_use)
     client.sock.close()
 
 
@@ -269,7 +271,7 @@
     # Once it is out: for a client that has left before, nothing is sent at all.
     assert until(lambda: asked)
     client.sock.close()
-    assert until(lambda: agent.rests and not agent.pools.budget.held)
+    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
 
 
 class Backend(Far):
@@ -384,7 +386,7 @@
 
 
 def test_a_backend_that_stops_reading_has_not_run_it_and_holds_nobody_for_long(monkeypatch):
-    monkeypatch.setattr(backend_connection, "STALLED", 0.05)
+    monkeypatch.setattr(backend_connection, "STALL_TIMEOUT_S", 0.05)
     reached = []
 
     def script(peer):
@@ -398,7 +400,7 @@
     assert len(reached) == 1
     writer.kill()
     client.sock.close()
-    assert until(lambda: agent.rests and not agent.pools.budget.held)
+    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
 
 
 def test_where_nothing_of_it_was_asked_for_yet_it_goes_elsewhere():
@@ -414,8 +416,8 @@
 
 @pytest.mark.parametrize("end", ["closes", "stops", "garbles"])
 def test_a_client_that_never_sends_the_rest_costs_its_backend_nothing(end, monkeypatch):
-    monkeypatch.setattr(relay_module, "GRACE", 0.05)
-    monkeypatch.setattr(relay_module, "PACE", 10_000_000)
+    monkeypatch.setattr(relay_module, "UPLOAD_GRACE_S", 0.05)
+    monkeypatch.setattr(relay_module, "MIN_UPLOAD_BYTES_PER_S", 10_000_000)
     far = Backend()
     agent = Agent(far)
     if end == "garbles":
@@ -428,7 +430,7 @@
             client.sock.close()
         else:
             assert client.hear().startswith(b"HTTP/1.1 408 ")
-    assert until(lambda: agent.rests and not agent.pools.budget.held)
+    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
     assert not far.bodies
     b = agent.router.balancer.state.backends["b0"]
     assert not b.distrust and not b.own
@@ -442,7 +444,7 @@
         clients.append(agent.connect().send(ask(LONG, id=b"r%d" % len(clients))[:100_000]))
         assert until(lambda: len(far.heads) == len(clients))
     gevent.sleep(0.02)
-    assert agent.requests.held <= 20 * 100 * 1024
+    assert agent.requests.used_bytes <= 20 * 100 * 1024
     # The usual clients go on.
     assert agent.connect().send(ask(b"hi", id=b"usual")).hear().endswith(b"2")
     for client in clients:
@@ -468,11 +470,11 @@
 
 def test_hundreds_of_slow_peers_take_no_place_from_the_usual_ones(monkeypatch):
     # All patience a twentieth of what it is, and as many at once.
-    monkeypatch.setattr(relay_module, "STALLED", 0.75)
-    monkeypatch.setattr(relay_module, "STALLED_SHORT", 0.1)
-    monkeypatch.setattr(listener_module, "DAWDLES", SECOND // 20)
-    monkeypatch.setattr(listener_module, "SLUGGISH", SECOND // 10)
-    monkeypatch.setattr(answer_writer, "DRAINS", 0.3 / 20)
+    monkeypatch.setattr(relay_module, "STALL_TIMEOUT_S", 0.75)
+    monkeypatch.setattr(relay_module, "CROWDED_STALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(listener_module, "SLOW_REQUEST_TENTHS", SECOND // 20)
+    monkeypatch.setattr(listener_module, "SLOW_READER_TENTHS", SECOND // 10)
+    monkeypatch.setattr(answer_writer, "DRAIN_TIMEOUT_S", 0.3 / 20)
 
     def script(peer):
         while heard := peer.hear():
@@ -498,7 +500,7 @@
             heard = usual.send(ask(b"hi", id=b"usual%d" % n)).hear()
             assert heard.endswith(b"ok"), (n, heard, agent.counters)
             usual.sock.close()
-    assert agent.requests.held < 4_000_000 and agent.answers.held < 4_000_000
+    assert agent.requests.used_bytes < 4_000_000 and agent.answers.used_bytes < 4_000_000
     for client in slow:
         client.sock.close()
 
@@ -527,7 +529,7 @@
     agent = Agent(far)
     # All of it, and the end, lies in the kernel before the agent's first look.
     agent.connect().send(ask(category=category) + behind).sock.close()
-    assert until(lambda: agent.router.offered and agent.rests)
+    assert until(lambda: agent.router.submitted and agent.rests)
     assert not far.heard
 
 
@@ -559,7 +561,7 @@
     client = agent.connect().send(ask(more=b"Content-Length: 5000000\r\n", length=False) + 200_000 * b"x")
     assert until(lambda: begun)
     client.sock.close()
-    assert until(lambda: agent.rests and not agent.pools.budget.held)
+    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
 
 
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(monkeypatch):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -13,7 +13,7 @@
 from nettledeal.configuration_files import ConfigError
 from nettledeal.model import Outcome, Verdict
 from nettledeal.net.protocol.backend import Reply
-from nettledeal.net.routing.intake import BEHIND
+from nettledeal.net.routing.request_admission import RETIRED_CATEGORY_TENTHS
 
 FORCE = json.loads(json.dumps(TOLD))
 FORCE["settings"]["allowed"]["most_hand_offs"] = 3
@@ -189,21 +189,23 @@
 
 def test_the_owner_takes_new_names_at_once_and_old_ones_for_a_while():
     desk = Desk()
-    desk.router.retune(BOTH, {}, {"read": 100, "write": 200}, 100)
-    desk.router.retune(named(("add", "rerunnable"), ("read", "exclusive")), {}, {"add": 300, "read": 100}, 50)
-    assert desk.router.intake.most == 50
+    desk.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    desk.router.update_settings(
+        named(("add", "rerunnable"), ("read", "exclusive")), {}, {"add": 300, "read": 100}, 50
+    )
+    assert desk.router.admission.max_open == 50
     pending, _ = desk.take("add")
-    desk.out().done(Reply(Outcome.FINISHED, report={}))
+    desk.out().on_reply(Reply(Outcome.FINISHED, report={}))
     assert desk.answered(pending) is HTTPStatus.OK
     pending, id = desk.take("write")
     assert id and pending.status is None
-    assert 0 < desk.router.intake.retired["write"] - desk.clock.now() <= BEHIND
-    desk.router.intake.retired["write"] = desk.clock.now() - 1
+    assert 0 < desk.router.admission.retired_until["write"] - desk.clock.now() <= RETIRED_CATEGORY_TENTHS
+    desk.router.admission.retired_until["write"] = desk.clock.now() - 1
     pending, id = desk.take("write")
     assert (pending.status, id) == (HTTPStatus.BAD_REQUEST, None)
     assert desk.take("read")[1]
     # Its first word counts, however often the settings change meanwhile.
-    desk.router.retune(named(("add", "rerunnable")), {}, {"add": 300}, 50)
+    desk.router.update_settings(named(("add", "rerunnable")), {}, {"add": 300}, 50)
     assert desk.take("write")[0].status is HTTPStatus.BAD_REQUEST
-    desk.router.retune(BOTH, {}, {"read": 100, "write": 200}, 100)
-    assert desk.take("write")[1] and until(lambda: not desk.router.waiting)
+    desk.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    assert desk.take("write")[1] and until(lambda: not desk.router.queued)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -208,8 +208,8 @@
 BUILDS = {
     "one answer": (
         "net/routing/router.py",
-        "= at + self.intake.wait(request)\n",
-        "= at + self.intake.wait(request) + 30_000\n",
+        "= received_at + self.admission.timeout(request)\n",
+        "= received_at + self.admission.timeout(request) + 30_000\n",
         LIGHT + '[[fault]]\nkind = "hang"\nat = 0.5\nshare = 0.5\n',
     ),
     "no effect twice": (
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -14,7 +14,7 @@
 from test_program import SRC, TOLD
 from test_rig import fleet
 
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 
 READY = b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
 # Two of eight backends cold all the while, and a few agents with most of the traffic; a third of all agents
@@ -106,7 +106,10 @@
     """Twenty at once, while discovery takes calls and says nothing, and clients rest at each of them."""
     discovery = Far(lambda peer: peer.hear() and until(bool, 600))
     places = [free_place() for _ in range(20)]
-    told = [{**TOLD, "listen": written(place), "discovery": written(discovery.address)} for place in places]
+    told = [
+        {**TOLD, "listen": format_address(place), "discovery": format_address(discovery.address)}
+        for place in places
+    ]
     agents = [launch(tmp_path / f"{n}", each) for n, each in enumerate(told)]
     try:
         assert until(lambda: all(map(ready, places)), 60)
@@ -134,8 +137,8 @@
     place, list_at = free_place(), free_place()
     told = {
         **TOLD,
-        "listen": written(place),
-        "discovery": written(list_at),
+        "listen": format_address(place),
+        "discovery": format_address(list_at),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
     }
     agent = launch(tmp_path / "agent", told, files=64)
@@ -149,7 +152,7 @@
                 client.send(READY if n % 3 == 1 else READY[:9])
             idle.append(client)
         far = Far(replies(served(b"from afar")))
-        entry = {"instanceId": "s1", "hostPort": written(far.address), "zone": "a"}
+        entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
         whole = json.dumps({"generation": 1, "reset": True, "instances": [entry]}).encode()
         lists = Far(replies(served(whole)), address=list_at)
         # It hears of the list, connects to the backend and takes one more client, all beside those that rest.
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -16,7 +16,7 @@
 from test_program import start
 
 from nettledeal.hash_ring import stable_hash
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 
 FULL = served(status=b"503 Full", more=b"X-Not-Processed: 1\r\n")
 RULES = {"cold_from": 0.3, "warm_within": 60_000_000_000, "overload_factor": 3.0, "tip_after": 1_500_000_000}
@@ -79,7 +79,7 @@
         entries = [
             {
                 "instanceId": f"s{n}",
-                "hostPort": written(far.address),
+                "hostPort": format_address(far.address),
                 "zone": "a",
                 "startedAtMs": now if n >= 6 else 0,
             }
@@ -93,7 +93,7 @@
     place = free_place()
     told = {
         "name": "n1",
-        "listen": written(place),
+        "listen": format_address(place),
         "discovery": "127.0.0.1:1",
         "seed": "5",
         "log_level": "info",
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -7,7 +7,7 @@
 
 from nettledeal.net.counters import Counters
 from nettledeal.net.protocol.catalogue import Catalogue
-from nettledeal.net.protocol.discovery import Declined, DiscoveryResponse
+from nettledeal.net.protocol.discovery import CallDeclined, DiscoveryResponse
 from nettledeal.net.transport import discovery_watch as discovery_watch_module
 from nettledeal.net.transport.discovery_watch import Backoff, DiscoveryWatch
 
@@ -41,7 +41,7 @@
     return script
 
 
-SILENCE = discovery_watch_module.SILENCE
+SILENCE = discovery_watch_module.SILENCE_TIMEOUT_S
 WHOLE = replies(served(line(3, "s1", "s2", whole=True)))
 
 
@@ -63,22 +63,22 @@
 
     def heard(self, count):
         assert until(lambda: len(self.news) >= count)
-        return [(news.generation, news.whole, len(news.listings)) for news in self.news]
+        return [(news.generation, news.is_full, len(news.listings)) for news in self.news]
 
 
 @pytest.fixture(autouse=True)
 def hurried(monkeypatch):
-    monkeypatch.setattr(discovery_watch_module, "FIRST_PAUSE", 0.001)
-    monkeypatch.setattr(discovery_watch_module, "FIRST_DECLINED", 0.001)
-    monkeypatch.setattr(discovery_watch_module, "SILENCE", 0.2)
+    monkeypatch.setattr(discovery_watch_module, "FIRST_PAUSE_S", 0.001)
+    monkeypatch.setattr(discovery_watch_module, "FIRST_DECLINED_PAUSE_S", 0.001)
+    monkeypatch.setattr(discovery_watch_module, "SILENCE_TIMEOUT_S", 0.2)
 
 
 def test_the_whole_list_first_then_what_changes():
     text = line(4, "s3")
     follow = Follow(WHOLE, says(CHUNKED, chunk(text[:9]), chunk(text[9:] + b"\n"), chunk(b"\n")))
     assert follow.heard(2) == [(3, True, 2), (4, False, 1)]
-    assert b"/catalog/members " in follow.far.peers[0].heard[0]
-    assert b"/catalog/members?watch=1&from=3 " in follow.far.peers[1].heard[0]
+    assert b"/catalog/members " in follow.far.peers[0].reset[0]
+    assert b"/catalog/members?watch=1&from=3 " in follow.far.peers[1].reset[0]
     assert not follow.lost
 
 
@@ -95,7 +95,7 @@
     follow = Follow(WHOLE, first, says(CHUNKED + chunk(line(5, "s4") + b"\n")))
     assert follow.heard(3) == [(3, True, 2), (4, False, 1), (5, False, 1)]
     assert follow.lost
-    assert b"from=4 " in follow.far.peers[2].heard[0]
+    assert b"from=4 " in follow.far.peers[2].reset[0]
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
 def test_what_was_known_at_the_start_is_watched_from_with_one_call():
     follow = Follow(says(CHUNKED + chunk(line(42, "s3") + b"\n")), version=41)
     assert follow.heard(1) == [(42, False, 1)]
-    assert b"?watch=1&from=41 " in follow.far.peers[0].heard[0]
+    assert b"?watch=1&from=41 " in follow.far.peers[0].reset[0]
 
 
 @pytest.mark.parametrize("status", [b"503 Service Unavailable", b"429 Too Many Requests"])
@@ -132,14 +132,16 @@
 
 def test_a_fleet_that_is_turned_away_calls_ever_more_rarely_and_never_in_step():
     fleet = [Backoff(Random(seed)) for seed in range(40)]
-    away = Declined(503, None)
-    first, *rest = ([pauses.next(away) for pauses in fleet] for _ in range(16))
-    base = discovery_watch_module.FIRST_DECLINED
+    away = CallDeclined(503, None)
+    first, *rest = ([pauses.next_pause_s(away) for pauses in fleet] for _ in range(16))
+    base = discovery_watch_module.FIRST_DECLINED_PAUSE_S
     assert all(0.5 * base <= pause <= 1.5 * base for pause in first) and len(set(first)) == 40
-    assert min(rest[-1]) >= 0.5 * discovery_watch_module.LONGEST_DECLINED
-    assert all(1.25 <= Backoff(Random(seed)).next(Declined(503, 2.5)) <= 3.75 for seed in range(9))
-    fleet[0].heard()
-    assert fleet[0].next(None) <= 1.5 * discovery_watch_module.FIRST_PAUSE
+    assert min(rest[-1]) >= 0.5 * discovery_watch_module.MAX_DECLINED_PAUSE_S
+    assert all(
+        1.25 <= Backoff(Random(seed)).next_pause_s(CallDeclined(503, 2.5)) <= 3.75 for seed in range(9)
+    )
+    fleet[0].reset()
+    assert fleet[0].next_pause_s(None) <= 1.5 * discovery_watch_module.FIRST_PAUSE_S
 
 
 @pytest.mark.parametrize(
@@ -152,7 +154,7 @@
     ],
 )
 def test_turned_away_with_a_time_to_come_back(lines, retry_after):
-    with pytest.raises(Declined) as fault:
+    with pytest.raises(CallDeclined) as fault:
         DiscoveryResponse().feed(memoryview(b"HTTP/1.1 503 Service Unavailable\r\n" + lines + b"\r\n"))
     assert fault.value.retry_after == retry_after
 
@@ -181,16 +183,16 @@
     follow = Follow(WHOLE, says(CHUNKED, *more))
     follow.heard(1)
     second = Far(slow, slow, says(CHUNKED + chunk(line(10, "s6") + b"\n")))
-    follow.discovery_watch.move(second.address)
+    follow.discovery_watch.change_address(second.address)
     assert until(lambda: second.peers)
     before = len(follow.news)
     follow.heard(before + 3)
     # Moved again amid its connect, and back: whoever stands is heard all the while.
-    follow.discovery_watch.move(Far(slow).address)
-    follow.discovery_watch.move(second.address)
+    follow.discovery_watch.change_address(Far(slow).address)
+    follow.discovery_watch.change_address(second.address)
     assert until(lambda: len(second.peers) == 2)
     speak.set()
-    assert until(lambda: (10, False) in [(news.generation, news.whole) for news in follow.news])
+    assert until(lambda: (10, False) in [(news.generation, news.is_full) for news in follow.news])
     told = [news.generation for news in follow.news]
     heard = len(told)
     gevent.sleep(0.02)
@@ -201,7 +203,7 @@
 def test_an_old_watch_that_ends_does_not_come_back_and_is_a_loss_only_while_no_other_stands():
     follow = Follow(WHOLE, says(CHUNKED, chunk(b"\n"), end=True))
     follow.heard(1)
-    follow.discovery_watch.move(Far(says()).address)
+    follow.discovery_watch.change_address(Far(says()).address)
     assert until(lambda: follow.lost)
     gevent.sleep(0.02)
     assert len(follow.far.peers) == 2
@@ -252,7 +254,13 @@
 )
 def test_whatever_call_failed_the_list_is_heard_soon_after_it_can_be(bad, version, monkeypatch):
     # Everything a twentieth as long: each of these hung for a minute or for good, and six seconds are all.
-    for name in ("SILENCE", "LONGEST_PAUSE", "LONGEST_DECLINED", "LONGEST_REST", "LEAST_REST"):
+    for name in (
+        "SILENCE_TIMEOUT_S",
+        "MAX_PAUSE_S",
+        "MAX_DECLINED_PAUSE_S",
+        "MAX_WAIT_S",
+        "MAX_LEAST_WAIT_S",
+    ):
         monkeypatch.setattr(discovery_watch_module, name, getattr(discovery_watch_module, name) / 20)
     calls, answers = [], list(bad)
 
@@ -273,19 +281,19 @@
 
 
 def test_time_for_another_call_is_left_within_the_six_seconds():
-    for failed in (Declined(503, None), Declined(503, 60.0)):
+    for failed in (CallDeclined(503, None), CallDeclined(503, 60.0)):
         fleet = [Backoff(Random(seed)) for seed in range(200)]
-        rests = [max(pause.next(failed) for pause in fleet) for _ in range(12)]
+        rests = [max(pause.next_pause_s(failed) for pause in fleet) for _ in range(12)]
         # Two that are turned away, and two seconds for the answer of the one that is not.
         assert 2 * max(rests) <= 6.0 - 2.0
     # A call that hung from before the return, the longest rest, and two seconds for the next one's answer.
     fleet = [Backoff(Random(seed)) for seed in range(200)]
-    lost = [max(pause.next(None) for pause in fleet) for _ in range(12)]
+    lost = [max(pause.next_pause_s(None) for pause in fleet) for _ in range(12)]
     assert max(lost) <= 1.0 and SILENCE + max(lost) <= 6.0 - 2.0
     # A watch that falls silent right before a change, and a call that hangs: a third begins in time.
     assert SILENCE + lost[0] + SILENCE + lost[1] < 6.0 - 0.2
 
 
 def test_agents_told_to_come_back_late_do_not_come_back_together():
-    rests = {Backoff(Random(seed)).next(Declined(503, 60.0)) for seed in range(200)}
+    rests = {Backoff(Random(seed)).next_pause_s(CallDeclined(503, 60.0)) for seed in range(200)}
     assert len(rests) == 200 and max(rests) - min(rests) > 0.6
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -25,7 +25,7 @@
 from gevent import socket
 from helpers import Far, Peer, free_place, served
 
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 
 SRC = str(Path(__file__).parents[1] / "src")
 WORK = 0.01  # what a backend takes, in seconds
@@ -39,7 +39,7 @@
         self.fars = [Far(self._backend) for _ in range(backends)]
         self.place = free_place()
         entries = [
-            {"instanceId": f"s{n}", "hostPort": written(far.address), "zone": "a"}
+            {"instanceId": f"s{n}", "hostPort": format_address(far.address), "zone": "a"}
             for n, far in enumerate(self.fars)
         ]
         whole = {"generation": 1, "reset": True, "instances": entries}
@@ -47,8 +47,8 @@
         category = {"name": "b", "effect": "unsafe", "expiry": 1_000_000_000, "due_time": 400_000_000}
         self.told = {
             "name": "n1",
-            "listen": written(self.place),
-            "discovery": written(self.list.address),
+            "listen": format_address(self.place),
+            "discovery": format_address(self.list.address),
             "known": whole,
             "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
@@ -97,7 +97,7 @@
                 **os.environ,
                 "PYTHONPATH": SRC,
                 "EDGE_CONFIG": str(file),
-                "EDGE_ADMIN_ADDR": written(door),
+                "EDGE_ADMIN_ADDR": format_address(door),
                 "TMPDIR": str(self.folder),
             },
         )
