--- a/src/nettledeal/net/__init__.py
+++ b/src/nettledeal/net/__init__.py
@@ -1,1 +1,1 @@
-"""The agent on sockets, by layers: transport, protocol and routing. Nothing is decided here."""
+"""The agent's network side in three layers: transport, protocol and routing. It decides nothing."""
--- a/src/nettledeal/net/address.py
+++ b/src/nettledeal/net/address.py
@@ -1,4 +1,4 @@
-"""Where something is reached: a host and a port, and how they are written as one."""
+"""Network addresses: a host and a port, and their `host:port` form."""
 
 from __future__ import annotations
 
--- a/src/nettledeal/net/clock.py
+++ b/src/nettledeal/net/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of an agent: Unix time at its start, moved on by a clock that never jumps."""
+"""The agent's clock: Unix time at its start, advanced by the monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from nettledeal.model import Time
 from nettledeal.units import up
 
-SECOND = 10_000
-# In nanoseconds; shorter than any wait for something to come: the loop has only looked.
+SECOND = 10_000  # in Time units (tenths of a millisecond)
+# If the event loop waited no longer than this in a pass, it only polled and didn't wait for an event.
 MAX_POLL_NS = 50_000
 
 
 class Clock:
     def __init__(self) -> None:
-        # Backends' starts come in Unix time; a clock set anew in between must not make a due time jump.
+        # Start times of backends are given in Unix time; a system clock change must not move deadlines.
         self.unix_offset_ns = time.time_ns() - time.monotonic_ns()
         self.wait_began_ns = self.last_poll_ns = self.arrival_ns = 0
         self.loop_watchers: tuple = ()
@@ -25,16 +25,19 @@
         return up(time.monotonic_ns() + self.unix_offset_ns)
 
     def arrival_time(self) -> Time:
-        """When what is handled now has come. The loop wakes at once for what comes while it rests; what
-        comes while it is at work is found at its next look. A busy agent would take its own lateness for
-        that of its backends, and hold requests to be younger than they are."""
+        """When the event that is being handled arrived.
+
+        If the loop was waiting, that is when it woke up. An event that arrives while the loop is busy is only
+        found at its next poll; taking the time of that poll would let a busy agent count its own delay as the
+        backends' and underestimate the age of requests.
+        """
         return up((self.arrival_ns or time.monotonic_ns()) + self.unix_offset_ns)
 
     def track_loop(self) -> None:
-        """From here on the loop's rests are known."""
+        """Start recording when the event loop waits and polls."""
         loop = get_hub().loop
         self.last_poll_ns = time.monotonic_ns()
-        # Last before a rest and first after it, or what the loop does itself would count as rest.
+        # Run last before a wait and first after it, or the loop's own work would count as waiting.
         before = loop.prepare(ref=False, priority=loop.MINPRI)
         after = loop.check(ref=False, priority=loop.MAXPRI)
         self.loop_watchers = before, after
@@ -46,6 +49,6 @@
 
     def _after_wait(self) -> None:
         now = time.monotonic_ns()
-        # Somewhere since the last look: the middle is wrong by half of that at most.
+        # It arrived at some time since the last poll: the middle is wrong by at most half of that.
         self.arrival_ns = now if now - self.wait_began_ns > MAX_POLL_NS else (self.last_poll_ns + now) // 2
         self.last_poll_ns = now
--- a/src/nettledeal/net/counters.py
+++ b/src/nettledeal/net/counters.py
@@ -1,4 +1,4 @@
-"""What must hold is asserted in debug builds and counted in release builds; so is what is worth a line."""
+"""Event counters. Invariants are asserted in debug runs and counted in optimised runs (`python -O`)."""
 
 from __future__ import annotations
 
@@ -16,6 +16,6 @@
             self[f"broken: {invariant}"] += 1
 
     def record_exception(self, where: str) -> None:
-        """An exception that was not to be and has been caught, so that it costs no more than it must."""
+        """Count and log an unexpected exception, caught to limit its damage; `where` names the place."""
         self["faults"] += 1
         log.exception("fault", where=where)
--- a/src/nettledeal/net/protocol/__init__.py
+++ b/src/nettledeal/net/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes in, values out: the dialects of clients, backends and discovery. No sockets here."""
+"""Protocol parsing and encoding for clients, backends, discovery and the admin port, without sockets."""
--- a/src/nettledeal/net/protocol/admin_commands.py
+++ b/src/nettledeal/net/protocol/admin_commands.py
@@ -1,12 +1,12 @@
-"""The dialect of the admin port: one line to an order, an answer to a line."""
+"""The line protocol of the admin port: one command and one answer line per connection."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Ids are short; a line that goes on and on is no order.
+# Ids are short, so a longer line is no command.
 MAX_LINE_BYTES = 512
-# Whether an argument follows.
+# By command, whether an argument follows.
 _TAKES_ARGUMENT = {
     "health": False,
     "cordon": True,
@@ -19,13 +19,13 @@
 
 
 class CommandRefused(ValueError):
-    """No order, or one that is not carried out; the text says why."""
+    """Not a command, or one that was not carried out; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdminCommand:
     name: str
-    argument: str = ""  # or, of members, an agent's name
+    argument: str = ""  # a backend's id or, for commands on members, an agent's name
 
 
 def parse_command(line: bytes) -> AdminCommand:
@@ -52,5 +52,5 @@
 
 
 def _format_line(name: str, text: str) -> bytes:
-    # Whatever the text holds, the answer is one line.
+    # Collapse white space: the answer must be one line.
     return (" ".join((name, *text.split())) + "\n").encode("ascii", "replace")
--- a/src/nettledeal/net/protocol/backend.py
+++ b/src/nettledeal/net/protocol/backend.py
@@ -1,4 +1,4 @@
-"""The dialect of backends: hand-offs and probes out, answers in."""
+"""HTTP on the backend side: encodes hand-offs and probes, parses responses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from nettledeal.net.protocol.load_report import parse_load_report
 
-# Answers ahead of the answer, each with a head of its own.
+# Interim (1xx) responses ahead of the final one.
 MAX_INTERIM_RESPONSES = 8
 _LOAD_REPORT_LINE = re.compile(rb"(\r\nx-server-load:)[^\n]*", re.IGNORECASE)
 _REFUSAL_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
@@ -29,18 +29,18 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What came back for a hand-off or a probe; nothing came where the outcome says so."""
+    """The result of a hand-off or a probe; everything but the outcome is empty if no response came."""
 
     outcome: Outcome
     body: memoryview | bytes = b""
-    headers: bytes = b""  # of its head, for the client
+    headers: bytes = b""  # header lines to forward to the client
     report: Report | None = None
     duration: Time = 0
-    body_stream: BodyStream | None = None  # of a long body, as it comes
+    body_stream: BodyStream | None = None  # a long body, read while it arrives
 
 
 class BodyStream(Protocol):
-    """What is still to come of a body; whoever pulls last ends it."""
+    """A body that is still arriving. Whoever reads it must call `finish` at the end."""
 
     length: int | None
 
@@ -50,7 +50,7 @@
 
 
 class ResponseReader(MessageReader):
-    """One answer of a backend, out of the buffer that it is read into."""
+    """Parses one response of a backend from the buffer that it is read into."""
 
     def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES, bodiless: bool = False) -> None:
         self.max_body_bytes = max_body_bytes
@@ -84,12 +84,12 @@
                 or isinstance(message.body_reader, BodyUntilClose)
                 and not self._announces_close()
             ):
-                # Without a word of it, one that ends with its connection may as well never end.
+                # Not announced as ending with the connection, so it might never end.
                 raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "the end of the answer can't be known")
             return used
 
     def _blank_report(self, buffer: bytearray, error: UnparsableHead) -> None:
-        """A report that breaks its head costs only itself: read once more with the report's line blanked."""
+        """If a load report makes the head invalid, blank its line in the buffer and parse the head again."""
         start = self.message.start
         match = None if self.report_blanked else _LOAD_REPORT_LINE.search(buffer, start, error.head_end)
         if match is None:
@@ -106,7 +106,7 @@
 
     @property
     def may_be_long(self) -> bool:
-        """Good, and its length not known yet: it may be long."""
+        """A successful response whose body isn't buffered as a whole, so it may be long."""
         return self.message.status == HTTPStatus.OK and self.message.body_reader is not None
 
     @property
@@ -120,7 +120,7 @@
                 b"x-server-load", b"x-not-processed", b"retry-after"
             )
             if self.bodiless and self.message.length is not None:
-                # What a body would have, which is not to come.
+                # The length that the body would have.
                 reply.headers += b"Content-Length: %b\r\n" % self.message.headers.get(b"content-length", b"0")
         return reply
 
@@ -137,13 +137,13 @@
         if status == HTTPStatus.OK:
             outcome = Outcome.FINISHED
         elif status in _REFUSAL_STATUSES and message.headers.get(b"x-not-processed") == b"1":
-            # Without the mark it may have run, whatever the status says.
+            # Without this header it may have run, whatever the status says.
             outcome = Outcome.FULL
         return Reply(outcome, message.body, report=parse_load_report(message.headers.get(b"x-server-load")))
 
 
 def encode_hand_off(request: ClientRequest, timeout: Time) -> list[bytes | memoryview]:
-    """A hand-off: its head, and the body as it came, or what has come of it so far."""
+    """Encode a request for a backend: the head, and the body as far as it has arrived."""
     head = b"%b %b HTTP/1.1\r\n%bX-Timeout-Ms: %d\r\n" % (
         request.method,
         request.target,
--- a/src/nettledeal/net/protocol/bodies.py
+++ b/src/nettledeal/net/protocol/bodies.py
@@ -1,7 +1,7 @@
-"""Bodies in pieces of any size: what of the bytes that come is payload, and where the body ends.
+"""Incremental readers for HTTP bodies: which of the received bytes are payload, and where the body ends.
 
-httptools reads heads; it does not tell where a chunked message ends, and what is pipelined behind one is then
-lost. A reader is fed views of what has come and returns the payload among them, uncopied.
+httptools is only used for heads: it doesn't tell where a chunked message ends, so pipelined bytes after one
+would be lost. A reader is fed views of the received bytes and returns the slices that are payload, uncopied.
 """
 
 from __future__ import annotations
@@ -9,15 +9,16 @@
 import re
 from http import HTTPStatus
 
-# A chunk's size with its extensions, a line of a trailer; and all lines of a trailer.
+# A chunk size line with its extensions, or one line of the trailer section.
 MAX_LINE_BYTES = 1024
+# All trailer lines together.
 MAX_TRAILER_BYTES = 16 * 1024
 _CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?\Z")
 _TRAILER_LINE = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\x00-\x08\x0a-\x1f\x7f]*\Z")
 
 
 class MalformedMessage(Exception):
-    """No message, or one that is not taken; with what a client is told."""
+    """The bytes are no valid message, or one that is not accepted; `status` is the answer to a client."""
 
     def __init__(self, status: HTTPStatus, reason: str):
         super().__init__(reason)
@@ -25,21 +26,21 @@
 
 
 class Body:
-    """What all readers of bodies have."""
+    """Base class of body readers."""
 
-    length: int | None = None  # if it is told
+    length: int | None = None  # if declared
 
     def __init__(self, max_bytes: int):
         self.max_bytes = max_bytes
-        self.payload_bytes = 0  # payload so far
-        self.consumed_bytes = 0  # bytes of the last feed that belong to the body
+        self.payload_bytes = 0  # so far
+        self.consumed_bytes = 0  # of the last view fed: the rest is not part of the body
         self.is_complete = False
 
     def feed(self, view: memoryview) -> list[memoryview]:
         raise NotImplementedError
 
-    def end(self) -> bool:
-        """The connection has ended; whether that leaves the body whole."""
+    def finish_at_eof(self) -> bool:
+        """Handle the end of the connection. Returns whether the body is complete."""
         return self.is_complete
 
     def _count_payload(self, count: int) -> None:
@@ -49,7 +50,7 @@
 
 
 class SizedBody(Body):
-    """One whose length its head tells."""
+    """A body with a Content-Length."""
 
     def __init__(self, max_bytes: int, length: int):
         super().__init__(max_bytes)
@@ -64,14 +65,14 @@
 
 
 class BodyUntilClose(Body):
-    """One that ends with its connection."""
+    """A body that ends when the connection is closed."""
 
     def feed(self, view: memoryview) -> list[memoryview]:
         self.consumed_bytes = len(view)
         self._count_payload(self.consumed_bytes)
         return [view] if self.consumed_bytes else []
 
-    def end(self) -> bool:
+    def finish_at_eof(self) -> bool:
         self.is_complete = True
         return True
 
@@ -79,8 +80,8 @@
 class ChunkedBody(Body):
     def __init__(self, max_bytes: int):
         super().__init__(max_bytes)
-        self.chunk_remaining = 0  # of this chunk
-        self.partial_line = b""  # as far as it has come
+        self.chunk_remaining = 0  # bytes of the current chunk still to come
+        self.partial_line = b""  # start of a line that is incomplete
         self.parse_line = self._parse_size
         self.trailer_bytes = 0
 
@@ -103,7 +104,7 @@
                 raise _malformed_chunks("a line of it is too long")
             if end:
                 line, self.partial_line = self.partial_line, b""
-                # A line that ends in half of its mark ends for one reader and not for the next.
+                # Reject bare CR and LF: some parsers take them as line ends and others don't.
                 if line[-2:] != b"\r\n" or b"\r" in line[:-2]:
                     raise _malformed_chunks("its lines end in doubt")
                 self.parse_line(line[:-2])
@@ -111,10 +112,10 @@
         return payload
 
     def _parse_size(self, line: bytes) -> None:
-        payload = _CHUNK_SIZE_LINE.match(line)
-        if payload is None:
+        match = _CHUNK_SIZE_LINE.match(line)
+        if match is None:
             raise _malformed_chunks("a chunk has no size")
-        self.chunk_remaining = int(payload[1], 16)
+        self.chunk_remaining = int(match[1], 16)
         self.parse_line = self._parse_chunk_end if self.chunk_remaining else self._parse_trailer
 
     def _parse_chunk_end(self, line: bytes) -> None:
@@ -123,7 +124,7 @@
         self.parse_line = self._parse_size
 
     def _parse_trailer(self, line: bytes) -> None:
-        """Trailers, which nobody here goes by, up to an empty line."""
+        """Skip the trailer section, which ends with an empty line."""
         self.trailer_bytes += len(line)
         if self.trailer_bytes > MAX_TRAILER_BYTES or line and not _TRAILER_LINE.match(line):
             raise _malformed_chunks("its trailer can't be read")
@@ -135,7 +136,7 @@
 
 
 def encode_chunk(pieces: list[memoryview]) -> list[bytes | memoryview]:
-    """Payload as one chunk; no payload is none, since an empty chunk would end the body."""
+    """Encode payload as one chunk. Empty payload gives nothing, since an empty chunk would end the body."""
     payload_bytes = sum(map(len, pieces))
     return [b"%x\r\n" % payload_bytes, *pieces, b"\r\n"] if payload_bytes else []
 
--- a/src/nettledeal/net/protocol/catalogue.py
+++ b/src/nettledeal/net/protocol/catalogue.py
@@ -1,4 +1,4 @@
-"""Entries of the list of backends, in the words of the project."""
+"""Decodes the list of backends that discovery sends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MalformedCatalogue(ValueError):
-    """A line of the list that cannot be read; the text says what is wrong with it."""
+    """Data from discovery that can't be decoded; the text says what is wrong."""
 
 
 class _Entry(msgspec.Struct, rename="camel"):
@@ -38,22 +38,22 @@
 
 @dataclass(slots=True)
 class CatalogueUpdate:
-    """What one line of the list says, and where each backend is to be reached."""
+    """One line of the list, decoded: the backends that it names and their addresses."""
 
     generation: int
     is_full: bool
     listings: list[Listing]
     addresses: dict[str, Address]
-    unreadable_entries: int = 0  # entries that make no sense
+    unreadable_entries: int = 0  # entries that couldn't be decoded
 
     @property
     def resume_version(self) -> int | None:
-        """The version from which changes make up the list; one with holes would keep them."""
+        """The version to watch from; None unless this is a full list without unreadable entries."""
         return self.generation if self.is_full and not self.unreadable_entries else None
 
 
 class Catalogue:
-    """Reads lines by the names of zones and kinds that the settings give."""
+    """Decodes lines, using the names of zones and machine types in the settings."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]):
         self.zones = {name: n for n, name in enumerate(zones)}
@@ -62,7 +62,7 @@
 
     def parse(self, line: bytes | bytearray | Mapping) -> CatalogueUpdate:
         try:
-            is_parsed = isinstance(line, Mapping)  # told at the start, read by then
+            is_parsed = isinstance(line, Mapping)  # from the configuration
             parsed_line = msgspec.convert(line, _Line) if is_parsed else self.decoder.decode(line)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             raise MalformedCatalogue(str(error)) from None
@@ -71,7 +71,7 @@
             try:
                 self._add(update, msgspec.convert(raw_entry, _Entry))
             except (msgspec.MsgspecError, ValueError):
-                update.unreadable_entries += 1  # one that cannot be read must not cost the others
+                update.unreadable_entries += 1  # one bad entry must not invalidate the others
         return update
 
     def _add(self, update: CatalogueUpdate, entry: _Entry) -> None:
@@ -83,9 +83,9 @@
     def _listing(self, entry: _Entry, life: Life | None) -> Listing:
         return Listing(
             backend=entry.instance_id,
-            # A word not known yet is no promise that new work is wanted.
+            # An unknown lifecycle: send it nothing new.
             life=life or Life.DRAINING,
-            # A zone that no setting names is no one's home.
+            # -1: not in the settings, so never the own zone.
             zone=self.zones.get(entry.zone, -1),
             kind=self.kinds.get(entry.machine_type, -1),
             cell=entry.cell,
--- a/src/nettledeal/net/protocol/client.py
+++ b/src/nettledeal/net/protocol/client.py
@@ -1,4 +1,4 @@
-"""The dialect of the application: its requests in, answers out."""
+"""HTTP on the client side: parses requests and encodes response heads."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from nettledeal.units import TENTH
 
 READINESS_PATH = b"/_health"
-# Their answers are framed by rules of their own.
+# Not forwarded: their responses follow framing rules of their own.
 _REFUSED_METHODS = (b"CONNECT", b"TRACE")
-# A wait beyond an hour is a mistake, and would keep what it holds for as long.
+# Longer than an hour must be a mistake, and would hold resources for as long.
 _MAX_TIMEOUT_MS = 3_600_000
-# So much of a long body is kept, to be sent once more while no more of it has been asked for.
+# The first bytes of a long body are kept, so that it can be sent again as long as no more has been read.
 REPLAY_BYTES = 32 * 1024
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A work item as it came: what goes on unchanged, and what its decisions go by."""
+    """A client's request: the parts to forward unchanged, and what routing decisions are based on."""
 
-    request_id: bytes  # the client's id of it
+    request_id: bytes  # X-Request-ID
     method: bytes
     target: bytes
-    forwarded_headers: bytes  # the lines of its head that go on, the client's id among them: it may repeat
+    forwarded_headers: bytes  # header lines to forward, X-Request-ID included
     body: memoryview | bytes
     category: str
     timeout: Time | None
@@ -39,13 +39,13 @@
 
 
 class Upload(Protocol):
-    """What is still to come of a long body."""
+    """The part of a long body that is still to be read."""
 
     length: int | None
 
 
 class RequestReader(MessageReader):
-    """One request of a client, out of the buffer that it is read into."""
+    """Parses one request from the buffer that it is read into."""
 
     def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
         self.message = Message(httptools.HttpRequestParser, max_body_bytes)
@@ -59,7 +59,7 @@
 
     @property
     def bodiless(self) -> bool:
-        """Its answer has no body."""
+        """The response must have no body."""
         return self.message.method == b"HEAD"
 
     @property
@@ -68,12 +68,12 @@
 
     @property
     def body_received(self) -> int:
-        """The bytes of its body so far, where they are counted."""
+        """Bytes of the body read so far, 0 if no body reader counts them."""
         return self.message.body_reader.payload_bytes if self.message.body_reader is not None else 0
 
     @property
     def ready_to_stream(self) -> bool:
-        """Long, and enough of it has come to begin with."""
+        """The body is long, and enough of it has arrived to start forwarding."""
         message = self.message
         return message.is_long and (
             message.length is None or message.body_reader.payload_bytes >= REPLAY_BYTES
@@ -81,7 +81,7 @@
 
     @property
     def expects_continue(self) -> bool:
-        """The client sends its body only when told to."""
+        """The client sends the body only after an interim 100 response."""
         return (
             self.message.head_bytes > 0
             and self.message.headers.get(b"expect", b"").lower() == b"100-continue"
@@ -128,7 +128,7 @@
 
 
 def _apply_attributes(request: ClientRequest, text: str) -> None:
-    """The further figures, by the simulator's names; what cannot be read says nothing."""
+    """Take over values from X-Attrs, named as in the simulator; unreadable and unknown ones are ignored."""
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name == "partition_key" and value:
@@ -146,8 +146,11 @@
     backend_headers: bytes = b"",
     chunked: bool = True,
 ) -> bytes:
-    """The head of an answer, with the backend's own lines; its body follows as it is, in chunks or up to the
-    end of the connection where its length is not known."""
+    """Encode the head of a response, with the header lines of the backend.
+
+    With a `length` the body follows as it is. Without one it follows in chunks if `chunked`, else up to the
+    end of the connection.
+    """
     head = f"HTTP/1.1 {status.value} {status.phrase}\r\n"
     if length is not None:
         head += f"Content-Length: {length}\r\n"
--- a/src/nettledeal/net/protocol/discovery.py
+++ b/src/nettledeal/net/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""The dialect of discovery: the list and the watch on it, asked for and read."""
+"""HTTP to the discovery service: requests for the backend list and for a watch on it, and their responses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from nettledeal.net.protocol.catalogue import MalformedCatalogue
 
-# A whole list of ten thousand backends is smaller.
+# The full list of ten thousand backends is smaller than this.
 MAX_LINE_BYTES = 4 * 1024 * 1024
 _REQUEST = "GET /catalog/members{} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n"
 
@@ -23,15 +23,15 @@
 
 
 class CallDeclined(Exception):
-    """Discovery has more callers than it can answer; what it told before still stands."""
+    """Discovery is overloaded and refused the call; what it sent before remains valid."""
 
     def __init__(self, status: int, retry_after: float | None):
         super().__init__(f"answered {status}")
-        self.retry_after = retry_after  # in seconds, where it says so
+        self.retry_after = retry_after  # seconds, if given
 
 
 class DiscoveryResponse:
-    """An answer of discovery, which may have no end; read as far as it has come."""
+    """A response of discovery, possibly endless, parsed as it arrives."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -68,7 +68,7 @@
             raise MalformedCatalogue("a line without end")
 
     def take_lines(self) -> list[bytes]:
-        """The lines that are whole; an empty one only says that the watch stands."""
+        """Remove and return the complete lines. An empty line is a heartbeat of the watch."""
         *lines, rest = self.buffer.split(b"\n")
         self.buffer = bytearray(rest)
         return [bytes(line.strip()) for line in lines]
--- a/src/nettledeal/net/protocol/framing.py
+++ b/src/nettledeal/net/protocol/framing.py
@@ -1,8 +1,8 @@
-"""One HTTP message out of the buffer that it is read into: where it ends, what its head says.
+"""Parses one HTTP message from the buffer that it is read into.
 
-httptools reads heads. The end of a head is looked for here, because httptools reads on into pipelined bytes
-and does not tell where a message ended; so a body of told length stays a slice. Other bodies, and long ones,
-are read by `bodies`.
+httptools parses the head. This module searches for the end of the head itself, because httptools reads on
+into pipelined bytes and does not tell where a message ended. A short body with a Content-Length stays a slice
+of the buffer; all other bodies are read by the classes in `bodies`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 from nettledeal.net.protocol.bodies import Body, BodyUntilClose, ChunkedBody, MalformedMessage, SizedBody
 
 MAX_HEAD_BYTES = 16 * 1024
+# A longer body is streamed instead of buffered.
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
 MAX_BLANK_LINES = 4
-# The bytes of a message that are kept at once: a long body goes on in pieces, and so do chunks.
+# Of one message in the read buffer: long and chunked bodies are consumed piece by piece.
 MAX_BUFFERED_BYTES = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES
 
-# What holds for one connection only, and what is worded anew on the next one.
+# Hop-by-hop headers, and those that are rewritten for the next connection.
 _HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -38,7 +39,7 @@
 
 
 class UnparsableHead(MalformedMessage):
-    """A head that the parser cannot read."""
+    """httptools can't parse the head; `head_end` is where the head ends in the buffer."""
 
     def __init__(self, reason: str, end: int):
         super().__init__(HTTPStatus.BAD_REQUEST, reason)
@@ -46,7 +47,7 @@
 
 
 class Message:
-    """What the parser says of one message, filled while it is read."""
+    """One message and what the parser reports of it, filled in while it is read."""
 
     def __init__(
         self,
@@ -56,27 +57,27 @@
         bodiless: bool = False,
         max_head_bytes: int = MAX_HEAD_BYTES,
     ):
-        # It and this refer to each other, and whole messages would wait for the garbage collector: so it goes
-        # as soon as it has read all that it is to read.
+        # Parser and message refer to each other, and such cycles are only freed by the garbage collector: the
+        # parser is dropped as soon as the head is parsed.
         self.parser: httptools.HttpParser | None = parser(self)
         self.method = b""  # of a request
         self.status = 0  # of an answer
         self.max_body_bytes = max_body_bytes
         self.max_head_bytes = max_head_bytes
-        self.bodiless = bodiless  # the answer to a HEAD: a length told, and no body
+        self.bodiless = bodiless  # response to a HEAD request: may declare a length but has no body
         self.headers: dict[bytes, bytes] = {}
-        self.raw_headers: list[tuple[bytes, bytes]] = []  # as they came, repeated ones too
+        self.raw_headers: list[tuple[bytes, bytes]] = []  # in the order of arrival, with repeats
         self.url = b""
         self.body: memoryview | bytes = b""
         self.length: int | None = None
-        self.body_reader: Body | None = None  # of a body whose length is not told, or that is long
-        self.body_pieces: list[bytes] = []  # what it has found so far
-        self.head_bytes = 0  # bytes of the head, once it is whole
+        self.body_reader: Body | None = None  # of a long body or one without a declared length
+        self.body_pieces: list[bytes] = []  # payload read so far
+        self.head_bytes = 0  # 0 until the head is complete
         self.start = start
         self.blank_lines = 0
         self.scanned_bytes = 0
-        self.keep_alive = False  # whether the connection may carry another message
-        self.is_http_1_0 = False  # HTTP/1.0 and before
+        self.keep_alive = False  # whether the connection may be reused
+        self.is_http_1_0 = False  # HTTP/1.0 or older
 
     # Called by httptools.
 
@@ -84,11 +85,11 @@
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        # The parser leaves white space behind a value on it.
+        # The parser keeps trailing white space of a value.
         raw_name, name, value = name, name.lower(), value.strip(b" \t")
         if name in self.headers:
             if name in (b"content-length", b"transfer-encoding", b"host"):
-                # Two lengths are how requests are smuggled past one reader to another.
+                # Repeated lengths are used for request smuggling: two parsers could read different messages.
                 raise MalformedMessage(HTTPStatus.BAD_REQUEST, f"{name.decode()} given twice")
             if name == b"connection":
                 value = self.headers[name] + b"," + value
@@ -96,19 +97,19 @@
         self.raw_headers.append((raw_name, value))
 
     def on_headers_complete(self) -> None:
-        self.keep_alive = self.parser.should_keep_alive()  # later it speaks of what is behind the message
+        self.keep_alive = self.parser.should_keep_alive()  # only valid here
         self.is_http_1_0 = self.parser.get_http_version() in ("1.0", "0.9")
 
-    # Called by whoever reads.
+    # Called by users of the message.
 
     @property
     def total_bytes(self) -> int | None:
-        """The bytes up to its end, once that is told."""
+        """Size of the message with its body, None while unknown."""
         return self.head_bytes + (self.length or 0) if self.head_bytes and self.body_reader is None else None
 
     @property
     def is_long(self) -> bool:
-        """Longer than what is kept whole: its pieces so far, then what the reader finds."""
+        """The body is too long to be buffered: use `body_pieces` so far, then `body_reader`."""
         return (
             self.body_reader is not None
             and (self.length or self.body_reader.payload_bytes) > MAX_BUFFERED_BODY_BYTES
@@ -116,24 +117,27 @@
 
     @property
     def retained_bytes(self) -> int | None:
-        """The bytes of the buffer that are still needed: what the reader has seen is not."""
+        """How many bytes of the buffer must be kept, None for all; `body_reader` needs none again."""
         return self.head_bytes if self.body_reader is not None else None
 
     @property
     def connection_options(self) -> set[bytes]:
-        """What the head says of this connection: its options, and names of lines that concern it alone."""
+        """Values of the Connection header, in lower case: options and names of hop-by-hop headers."""
         return {name.strip().lower() for name in self.headers.get(b"connection", b"").split(b",")}
 
     def end_to_end_headers(self, *excluded: bytes) -> bytes:
-        """The lines of the head that concern both ends, not this connection."""
+        """The encoded header lines to forward: all but hop-by-hop headers and `excluded`."""
         skipped = self.connection_options | _HOP_BY_HOP.union(excluded)
         return b"".join(
             b"%b: %b\r\n" % field for field in self.raw_headers if field[0].lower() not in skipped
         )
 
     def parse(self, buffer: bytearray, filled: int) -> int | None:
-        """How many bytes the message takes, or None while it is not whole. Where `kept` says so, each call is
-        for what has come behind those bytes since the last one."""
+        """The number of bytes that the message takes, or None while it is incomplete.
+
+        Once `retained_bytes` is set, each call expects only those bytes followed by what arrived since the
+        last call.
+        """
         try:
             return self._parse(buffer, filled)
         except MalformedMessage:
@@ -151,7 +155,7 @@
             ) from None
 
     def finish_at_eof(self) -> bool:
-        """The connection has ended; whether that leaves the message whole."""
+        """Handle the end of the connection. Returns whether the message is complete."""
         if self.body_reader is None or not self.body_reader.finish_at_eof():
             return False
         self.body = b"".join(self.body_pieces)
@@ -169,7 +173,7 @@
         return end
 
     def _parse_head(self, buffer: bytearray, filled: int) -> bool:
-        # Some clients end a body with a line that no length tells of.
+        # Some clients send an extra CRLF after a body, not counted in its length.
         while self.start + 2 <= filled and buffer[self.start : self.start + 2] == b"\r\n":
             self.start += 2
             self.blank_lines += 1
@@ -177,13 +181,13 @@
                 raise MalformedMessage(HTTPStatus.BAD_REQUEST, "empty lines without end")
         end = buffer.find(b"\r\n\r\n", max(self.start, self.scanned_bytes - 3), filled)
         self.scanned_bytes = filled
-        # Also a head that came in one piece: what a message may hold must not hang on how it came.
+        # Also check a head that arrived in one piece: the limit must not depend on how a message is split.
         if (end + 4 if end >= 0 else filled) - self.start > self.max_head_bytes:
             raise MalformedMessage(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")
         if end < 0:
             return False
         self.scanned_bytes = end + 4
-        # A line that ends in half of its mark ends the head for one reader and not for the next.
+        # Reject bare CR and LF: some parsers take them as line ends and others don't (request smuggling).
         if len({buffer.count(mark, self.start, end + 4) for mark in (b"\r\n", b"\r", b"\n")}) > 1:
             raise MalformedMessage(HTTPStatus.BAD_REQUEST, "lines of the head end in doubt")
         with memoryview(buffer) as view:
@@ -236,21 +240,21 @@
 
 
 class MessageReader:
-    """What the readers of requests and of answers tell alike of the message that they read."""
+    """Properties that request and response readers share."""
 
     message: Message
 
     @property
     def total_bytes(self) -> int | None:
-        """Where the message ends in the buffer, once that is known."""
+        """Where the message ends in the buffer, None while unknown."""
         return self.message.total_bytes
 
     @property
     def retained_bytes(self) -> int | None:
-        """The bytes of the buffer that are still needed, where not all are."""
+        """How many bytes of the buffer must be kept, None for all."""
         return self.message.retained_bytes
 
     @property
     def keep_alive(self) -> bool:
-        """The connection may be used again."""
+        """Whether the connection may be reused."""
         return self.message.keep_alive
--- a/src/nettledeal/net/protocol/load_report.py
+++ b/src/nettledeal/net/protocol/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports, as backends word them, in the words that the settings name them by."""
+"""Parses load reports of backends into the field names that the settings use."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from nettledeal.model import Report
 
-# What backends call what the settings call otherwise.
+# Names in the settings, by the name that backends use, where they differ.
 _SETTINGS_NAMES = {"inflight": "outstanding", "queue": "backlog", "util": "utilization"}
 _MAX_REPORT_BYTES = 1024
 
 
 def parse_load_report(text: bytes | memoryview | None) -> Report:
-    """What can be read of a report; what is no sensible number is left out."""
+    """The valid fields of a report; anything that is not a finite, non-negative number is left out."""
     values: dict[str, float] = {}
     if text is None or len(text) > _MAX_REPORT_BYTES:
         return values
--- a/src/nettledeal/net/routing/__init__.py
+++ b/src/nettledeal/net/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The router: the one greenlet that calls the balancer."""
+"""Routing: the single greenlet that calls the balancer and carries out its decisions."""
--- a/src/nettledeal/net/routing/actions.py
+++ b/src/nettledeal/net/routing/actions.py
@@ -1,4 +1,4 @@
-"""Carries out what the balancer decides: hand-offs, answers, recalls and probes of requests that are open."""
+"""Carries out the balancer's decisions for open requests: hand-offs, answers, cancellations and probes."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from nettledeal.net.transport.pending_answer import PendingAnswer
 from nettledeal.net.transport.relay import MAX_UPLOAD_TENTHS
 
-# The answer is to be with the client before its expiry, which counts from when it sent: so much is left
-# for the way here and back.
+# Allowance for network transit (in Time units, tenths of a millisecond). A request's expiry counts from when
+# the client sent it, and the answer must reach the client before that.
 TRANSIT_MARGIN_TENTHS = 20
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A work item taken and not yet answered."""
+    """A request that was accepted and has no answer yet."""
 
     request: ClientRequest
     pending: PendingAnswer
-    exchanges: dict[int, Exchange] = field(default_factory=dict)
+    exchanges: dict[int, Exchange] = field(default_factory=dict)  # in flight, by hand-off number
 
 
 class ExchangeEvents(Protocol):
-    """Whom it is told what comes of a hand-off or a probe."""
+    """Receives the results of hand-offs and probes."""
 
     def hand_off_ended(self, id: int, number: int, reply: Reply) -> None: ...
 
@@ -43,7 +43,7 @@
     def upload_started(self, id: int, number: int) -> None: ...
 
 
-class Actions:
+class ActionExecutor:
     def __init__(
         self,
         clock: Clock,
@@ -66,12 +66,12 @@
         self.open_requests: dict[int, OpenRequest] = {}
 
     def carry_out(self, acts: Iterable[Act], decided_at: Time) -> None:
-        """In their order; `told` is the time that the balancer went by."""
+        """Carry out `acts` in order. `decided_at` is the time that the balancer used for the decision."""
         for act in acts:
             try:
                 self._execute(act, decided_at)
             except Exception:
-                # The acts behind it are for other work items.
+                # The remaining acts concern other work items, so go on with them.
                 self.counters.record_exception(type(act).__name__)
                 if isinstance(act, HandOff):
                     self.events.hand_off_ended(act.work_item, act.number, Reply(Outcome.UNSENT))
@@ -101,7 +101,7 @@
             self.events.hand_off_ended(act.work_item, act.number, reply)
 
         if open_request is None or not open_request.pending.is_wanted:
-            # Its client has left and the word of it is still in the queue: nothing is sent for nobody.
+            # The client has disconnected, but that event is still queued: don't start work for it.
             on_reply(Reply(Outcome.UNSENT))
             return
         backend = str(act.backend)
@@ -115,20 +115,20 @@
         self, act: HandOff, open_request: OpenRequest, decided_at: Time, on_reply: Callable[[Reply], None]
     ) -> Exchange:
         request = open_request.request
-        time_out = act.time_out
+        timeout = act.time_out
         if request.upload is not None:
-            # Its expiry lies as far off as the slowest upload; its answer's wait runs from its last byte.
-            time_out = max(
+            # The deadline includes the longest possible upload; the reply timeout starts at the last byte.
+            timeout = max(
                 1, open_request.pending.deadline - decided_at - MAX_UPLOAD_TENTHS - 2 * TRANSIT_MARGIN_TENTHS
             )
         exchange = Exchange(
-            backend_protocol.encode_hand_off(request, time_out), decided_at + act.time_out, on_reply
+            backend_protocol.encode_hand_off(request, timeout), decided_at + act.time_out, on_reply
         )
         exchange.begin_by = act.begin_by
         exchange.bodiless = request.method == b"HEAD"
         exchange.is_wanted = lambda: open_request.pending.is_wanted
         if request.upload is not None:
-            exchange.upload, exchange.reply_timeout = request.upload, time_out
+            exchange.upload, exchange.reply_timeout = request.upload, timeout
             exchange.on_upload_start = lambda: self.events.upload_started(act.work_item, act.number)
         return exchange
 
@@ -152,7 +152,10 @@
         self.close(id)
 
     def close(self, id: int) -> None:
-        """Answered, or its client is gone: what is still out for it ends, or it would be sent afterwards."""
+        """Forget a request that was answered or whose client left.
+
+        Cancels its remaining exchanges: those not written yet would otherwise still be sent.
+        """
         open_request = self.open_requests.pop(id)
         self.admission.open_request_ids.discard(open_request.request.request_id)
         for exchange in open_request.exchanges.values():
--- a/src/nettledeal/net/routing/request_admission.py
+++ b/src/nettledeal/net/routing/request_admission.py
@@ -1,4 +1,4 @@
-"""What requests are let in: those whose words the settings know, while there is room for them."""
+"""Checks whether a request may be accepted and maps its category and customer to the balancer's numbers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from nettledeal.net.clock import SECOND
 from nettledeal.net.protocol.client import ClientRequest
 
-# How long a category is still understood that the settings name no more.
+# How long a category is still accepted after it was removed from the settings (Time units).
 RETIRED_CATEGORY_TENTHS = 5 * SECOND
 
 
@@ -21,27 +21,29 @@
         default_timeouts: dict[str, Time],
         max_open: int,
     ):
-        """`categories` and `customers` by name, `waits` the usual time to expiry of a category, `most` the
-        work items that may be open."""
+        """`categories` and `customers` map names to numbers, `default_timeouts` gives the timeout of a
+        category for requests that carry none, and `max_open` limits the open work items."""
         self.categories = categories
         self.default_timeouts = default_timeouts
         self.max_open = max_open
-        # By name and by number; one that no setting names has no share, and 0 where nobody has one.
+        # Keyed by name and by number. A customer that the settings don't name has no share; an empty name is
+        # customer 0.
         self.customers = _by_name_or_number(customers)
-        self.retired_until: dict[str, Time] = {}  # categories that the settings name no more, until when
-        self.open_request_ids: set[bytes] = set()  # what clients call those that are open
+        self.retired_until: dict[str, Time] = {}  # by category that was removed from the settings
+        self.open_request_ids: set[bytes] = set()  # X-Request-ID of each open request
 
     def rejection_status(self, request: ClientRequest, received_at: Time) -> HTTPStatus | None:
-        """What no backend could use costs them nothing."""
+        """The status to reject a request with, None to accept it. Rejected requests reach no backend."""
         if request.category and self.categories and request.category not in self.categories:
             return HTTPStatus.BAD_REQUEST
         if self.retired_until.get(request.category, received_at) < received_at:
             return HTTPStatus.BAD_REQUEST
-        # For a backend it would be the same one, begun twice at once; and no deferral, as that one may run.
+        # A backend would see the same request twice at once. Not 503: that promises that nothing has run, but
+        # the first one may be running.
         return HTTPStatus.CONFLICT if request.request_id in self.open_request_ids else None
 
     def timeout(self, request: ClientRequest) -> Time:
-        """How long its client waits for an answer."""
+        """How long the client waits for an answer."""
         return (
             self.default_timeouts.get(request.category, SECOND)
             if request.timeout is None
@@ -63,10 +65,10 @@
         max_open: int,
         now: Time,
     ) -> None:
-        """Other settings. `names` are the categories in the balancer's order, the first `named` of which the
-        settings still name."""
+        """Apply new settings. `names` are the categories in the balancer's order; only the first
+        `named_count` are still in the settings."""
         self.categories = {name: n for n, name in enumerate(names)}
-        # Clients hear of a change later than this agent: what they still name is served as they know it.
+        # Clients learn of a change later than this agent, so removed categories are accepted for a while.
         self.retired_until = {
             name: self.retired_until.get(name, now + RETIRED_CATEGORY_TENTHS) for name in names[named_count:]
         }
--- a/src/nettledeal/net/routing/router.py
+++ b/src/nettledeal/net/routing/router.py
@@ -1,6 +1,6 @@
-"""The router: the one greenlet that calls the balancer and carries out its steps.
+"""The router: the single greenlet that calls the balancer and carries out its steps.
 
-Greenlets that have sockets put what happened on its queue. It never waits for a socket itself.
+Greenlets that own sockets put events on its queue; the router itself never waits for a socket.
 """
 
 from __future__ import annotations
@@ -20,16 +20,17 @@
 from nettledeal.net.protocol.backend import Reply
 from nettledeal.net.protocol.catalogue import CatalogueUpdate
 from nettledeal.net.protocol.client import ClientRequest
-from nettledeal.net.routing.actions import TRANSIT_MARGIN_TENTHS, Actions, OpenRequest
+from nettledeal.net.routing.actions import TRANSIT_MARGIN_TENTHS, ActionExecutor, OpenRequest
 from nettledeal.net.routing.request_admission import RequestAdmission
 from nettledeal.net.transport.backend_pools import BackendPools
 from nettledeal.net.transport.pending_answer import PendingAnswer
 from nettledeal.net.transport.relay import MAX_UPLOAD_TENTHS
 from nettledeal.policy.balancer import Balancer
 
-# A loop that is late by more than this is given as much again; less would only blur how long clients wait.
+# Event loop lag (Time units) above which expiries are shortened by the lag. The balancer tells first tries
+# from repeats by how long clients wait, and correcting for a smaller lag would only blur that.
 LAG_TOLERANCE_TENTHS = 50
-# How often the router looks at how late it runs when nothing else wakes it.
+# How often the router measures the lag when nothing else wakes it (Time units).
 LAG_CHECK_TENTHS = SECOND // 4
 
 
@@ -53,34 +54,34 @@
         self.counters = counters
         self.pools = pools
         self.admission = RequestAdmission(categories, customers, default_timeouts, max_open)
-        self.actions = Actions(
+        self.actions = ActionExecutor(
             clock, counters, pools, self.admission, self, probe_timeout, request_reports, subscribe
         )
         self.open_requests = self.actions.open_requests
         self.queue: SimpleQueue = SimpleQueue()
         self.commands: deque[tuple[Callable, tuple, AsyncResult]] = deque()
-        self.addresses: dict[str, Address] = {}  # where those that the list calls running are reached
-        self.submitted = 0  # work items given an id so far
-        self.queued = 0  # of which still in the queue
+        self.addresses: dict[str, Address] = {}  # of the backends that the catalogue lists as running
+        self.submitted = 0  # work items so far; the last one's id
+        self.queued = 0  # submitted work items that are still in the queue
         self.wake_at: Time | None = None
-        self.last_told: Time = 0  # the time that the balancer was told last
-        self.lag: Time = 0  # how late the loop has run of late
+        self.last_told: Time = 0  # the last time passed to the balancer
+        self.lag: Time = 0  # recent lag of the event loop, decaying
 
     @property
     def busy(self) -> bool:
         return bool(self.open_requests or self.queued)
 
-    # Called by the greenlets that have sockets.
+    # Called by the greenlets that own sockets.
 
     def submit(self, request: ClientRequest, received_at: Time, pending: PendingAnswer) -> int | None:
-        """The work item's id here, or None if it has got its answer at once."""
+        """Queue a request. Returns the work item's id, or None if the request was answered at once."""
         rejection = self.admission.rejection_status(request, received_at)
         if rejection is not None:
             self.counters["requests unfit"] += 1
             pending.put(rejection)
             return None
         if self.queued + len(self.open_requests) >= self.admission.max_open:
-            # Nothing has been sent for it, so a deferral promises nothing that isn't so.
+            # Nothing was sent to a backend, so 503 may promise the client that the request has not run.
             self.counters["deferred at the door"] += 1
             pending.put(HTTPStatus.SERVICE_UNAVAILABLE)
             return None
@@ -112,13 +113,16 @@
         self.queue.put((self._on_upload_started, (id, number)))
 
     def answer_overdue(self, id: int) -> None:
-        """Its client has got a failure since nothing else came in time."""
+        """The client was sent a failure because no answer came in time."""
         self.counters.check_invariant(False, "a work item is answered before its expiry")
         self.client_left(id)
 
     def execute(self, call: Callable, *arguments):
-        """An operator's order, done ahead of all that is in the queue; blocks until it is in force. Whoever
-        stops waiting takes it back, or it would be done after it was refused."""
+        """Run an operator's command ahead of all queued events and return its result.
+
+        Blocks until the command has run. If the caller stops waiting, the command is withdrawn: otherwise it
+        would run after it was reported as refused.
+        """
         command = call, arguments, AsyncResult()
         self.commands.append(command)
         self.queue.put((self._run_commands, ()))
@@ -129,7 +133,7 @@
                 self.commands.remove(command)
 
     def cordon(self, backend: str, heard: bool = False) -> bool:
-        """Ordered here, or heard of from another process of this agent."""
+        """Take a backend out of service. `heard`: ordered at another process of this agent."""
         return self.execute(self._set_cordon, self.balancer.cordon, backend, heard)
 
     def uncordon(self, backend: str) -> bool:
@@ -138,10 +142,10 @@
     def update_settings(
         self, settings: Mapping, customers: dict[str, int], default_timeouts: dict[str, Time], max_open: int
     ) -> None:
-        """Other settings, in one step between two work items."""
+        """Apply new settings in one step, between two events."""
         self.execute(self._on_settings, settings, customers, default_timeouts, max_open)
 
-    # The greenlet.
+    # Run by the router's greenlet.
 
     def start(self, known: CatalogueUpdate | None) -> None:
         self._carry_out(self.balancer.start(self._now()))
@@ -156,7 +160,7 @@
                 now + LAG_CHECK_TENTHS if self.wake_at is None else min(self.wake_at, now + LAG_CHECK_TENTHS)
             )
             call, arguments = self._on_wake, ()
-            # A wake that is due comes before what is in the queue: under load that is never empty.
+            # A timer that is due runs before queued events: under load the queue is never empty.
             if self.wake_at is None or self.wake_at > now:
                 try:
                     call, arguments = self.queue.get(timeout=(until - now) / SECOND)
@@ -165,7 +169,7 @@
             try:
                 call(*arguments)
             except Exception:
-                # Whatever it was, the other work items go on.
+                # An unexpected failure must not stop the other work items.
                 self.counters.record_exception(call.__name__)
                 self._fail_work_item(call, arguments)
 
@@ -177,11 +181,11 @@
         self.lag = max(self.clock.now() - until, self.lag * 3 // 4)
 
     def _fail_work_item(self, call: Callable, arguments: tuple) -> None:
-        """A work item whose event went wrong has lost its way: it is answered now."""
+        """Answer a work item whose event raised an exception: nothing else would answer it."""
         id = arguments[0] if call in (self._on_submit, self._on_hand_off_ended) else None
         open_request = self.open_requests.get(id)
         if open_request is not None:
-            # Nobody knows what has run, so it is no deferral.
+            # It may have run on a backend, so this must not be 503.
             open_request.pending.put(HTTPStatus.BAD_GATEWAY)
             self.actions.close(id)
             self.queue.put((self._withdraw, (id,)))
@@ -200,8 +204,8 @@
             pending.deadline - TRANSIT_MARGIN_TENTHS - (self.lag if self.lag > LAG_TOLERANCE_TENTHS else 0)
         )
         self.open_requests[id] = OpenRequest(request, pending)
-        # As of when it was read: how long a client waits tells first tries from repeats, and the time in
-        # the queue would blur it.
+        # Use the time of reading: the balancer tells first tries from repeats by how long the client waits,
+        # and the time spent in the queue would blur that.
         self.last_told = max(self.last_told, received_at)
         category = self.admission.category_number(request)
         self._carry_out(
@@ -230,7 +234,7 @@
         if reply.body_stream is not None and (
             open_request is None or open_request.pending.status is not None
         ):
-            reply.body_stream.finish(False)  # its client is gone, or has been answered
+            reply.body_stream.finish(False)  # the client has left or has an answer
         if open_request is not None and reply.outcome is Outcome.FINISHED:
             open_request.pending.put(HTTPStatus.OK, reply.body, reply.headers, body_stream=reply.body_stream)
             self.actions.close(id)
@@ -280,8 +284,10 @@
         )
 
     def _sync_pool(self, backend: str) -> None:
-        """Connections to what the list calls running, unless an operator has taken it out; without them
-        nothing new goes there, and what is decided but not yet written comes back as never sent."""
+        """Keep a connection pool only for a backend that is listed as running and not cordoned.
+
+        Without a pool nothing new is sent to it, and hand-offs not written yet end as unsent.
+        """
         if backend in self.addresses and backend not in self.balancer.state.cordoned:
             self.pools.set_address(backend, self.addresses[backend])
         else:
--- a/src/nettledeal/net/transport/admin_server.py
+++ b/src/nettledeal/net/transport/admin_server.py
@@ -1,4 +1,4 @@
-"""The admin port: a second address, one line to a connection, within descriptors of its own."""
+"""The admin port: a separate address with one command per connection and its own share of descriptors."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from nettledeal.net.transport.budget import MAX_ADMIN_CALLERS
 from nettledeal.net.transport.sockets import listening_socket, send_all
 
-# A caller that finishes no line within this time is let go.
+# A caller that doesn't complete its line within this time is disconnected.
 LINE_TIMEOUT_S = 5.0
 MAX_READ_BYTES = 16 * 1024
-# An order not carried out by then is refused: the caller waits a second.
+# A command not carried out by then is refused: callers wait for one second.
 COMMAND_TIMEOUT_S = 0.9
 
 log = structlog.get_logger()
@@ -26,11 +26,11 @@
 
 class AdminServer:
     def __init__(self, address: Address, counters: Counters, carry_out: Callable[[AdminCommand], str]):
-        """`carry_out` returns what is said of an order once it is in force, and raises `Refused`."""
+        """`carry_out` returns the answer to a command once it is in force, or raises `CommandRefused`."""
         self.sock = listening_socket(address)
         self.counters = counters
         self.carry_out = carry_out
-        self.silent_callers: dict[socket.socket, None] = {}  # the longest first
+        self.silent_callers: dict[socket.socket, None] = {}  # no complete line yet; oldest first
         self.open_callers = 0
 
     def run(self) -> None:
@@ -44,7 +44,7 @@
                 continue
             self.open_callers += 1
             if self.open_callers > MAX_ADMIN_CALLERS and self.silent_callers:
-                # Who says nothing keeps nobody out.
+                # Silent callers must not block others: disconnect the oldest.
                 self.counters["silent callers at the door ended"] += 1
                 longest = next(iter(self.silent_callers))
                 del self.silent_callers[longest]
@@ -60,7 +60,7 @@
             if line:
                 with gevent.Timeout(LINE_TIMEOUT_S):
                     send_all(sock, [self._execute(line)])
-                    # Closing with bytes unread would send a reset, and that could overtake the answer.
+                    # Closing with unread bytes would send a reset, which could overtake the answer.
                     sock.shutdown(socket.SHUT_WR)
                     while len(line) < MAX_READ_BYTES and (more := sock.recv(4096)):
                         line += more
@@ -83,7 +83,7 @@
     def _execute(self, line: bytes) -> bytes:
         first, end, rest = line.partition(b"\n")
         try:
-            # Half a line may be half an id: nothing is done by it.
+            # An incomplete line may contain an incomplete id.
             if not end:
                 raise CommandRefused(
                     "the line is "
--- a/src/nettledeal/net/transport/answer_writer.py
+++ b/src/nettledeal/net/transport/answer_writer.py
@@ -1,4 +1,4 @@
-"""Answers on their way out to one client: head, body, relayed body, and an end that loses none of it."""
+"""Writes answers to one client: head, body or streamed body, and a close that loses none of it."""
 
 from __future__ import annotations
 
@@ -18,38 +18,37 @@
 from nettledeal.net.transport.relay import Upload
 from nettledeal.net.transport.sockets import send_all
 
-# How long an answer may take to be read once nobody waits for it any more.
+# How long the client may take to read an answer after its expiry.
 READ_GRACE_TENTHS = SECOND
-# The longest that an answer may be on its way whatever its expiry is: that of an upload lies far off.
+# Limit for writing an answer whatever its expiry: that of an upload is far in the future.
 MAX_SEND_TENTHS = 60 * SECOND
-# What still comes of a request that was turned away is read for so long (seconds) and so many times, no
-# further.
+# How long, and how many times, the rest of a refused request is read before the connection is closed.
 DRAIN_TIMEOUT_S, MAX_DRAIN_READS = 0.3, 16
 
-_discard_buffer = bytearray(64 * 1024)  # where that goes; nobody looks at it
+_discard_buffer = bytearray(64 * 1024)  # receives the bytes that are dropped
 
 
 class AnsweringListener(Protocol):
-    """What the writer goes by of the listener whose client it answers."""
+    """What the writer needs of the listener that accepted the client."""
 
     clock: Clock
 
     @property
     def accepts_upload(self) -> bool:
-        """Whether there is room for one more long request."""
+        """Whether one more long request may be accepted."""
 
 
 class AnswerWriter:
-    """Writes answers to one client; after the last one it ends the connection in order.
+    """Writes answers to one client and closes the connection gracefully after the last one.
 
-    It knows nothing of the connection that has it: with a reference back, what that holds would be freed by
-    the garbage collector only, long after the connection has ended.
+    It has no reference to the connection that owns it: such a cycle would keep the connection's memory until
+    the next garbage collection, long after the connection has ended.
     """
 
     def __init__(self, listener: AnsweringListener, sock: socket.socket):
         self.listener = listener
         self.sock = sock
-        self.write_closed = False  # its side is shut, and what still came has been read
+        self.write_closed = False  # the sending side is shut down and remaining input was read
 
     def send(
         self,
@@ -59,8 +58,11 @@
         on_progress: Callable[[bool], None],
         upload: Upload | None = None,
     ) -> None:
-        """One answer, whole; an error means that the connection is of no further use. `keep`: whether it is
-        to stay open; `moves` is told each time that some of a relayed body goes out, and when that ends."""
+        """Write one answer. After an exception the connection is unusable.
+
+        `keep_alive`: whether the connection stays open. `on_progress` is called with True each time that part
+        of a streamed body is about to be sent, and with False when that ends.
+        """
         status = pending.status or HTTPStatus.BAD_GATEWAY
         body_stream = pending.body_stream
         length = (
@@ -87,8 +89,11 @@
             self._finish_early(upload)
 
     def _finish_early(self, upload: Upload) -> None:
-        """Closing with bytes unread would send a reset, and that could overtake the answer. What comes behind
-        the body could not be answered: it is not read as a request."""
+        """Close after an answer that was sent before the request was read completely.
+
+        The rest is read, as closing with unread bytes would send a reset, which could overtake the answer.
+        Bytes after the body are not read as a request: it couldn't be answered.
+        """
         self.write_closed = True
         self.sock.shutdown(socket.SHUT_WR)
         with gevent.Timeout(None if self.listener.accepts_upload else DRAIN_TIMEOUT_S, False):
@@ -97,15 +102,17 @@
     def _stream_body(
         self, body_stream: BodyStream, is_chunked: bool, on_progress: Callable[[bool], None]
     ) -> None:
-        """As it comes, however slowly it is read: the backend connection at its other end sees that it moves
-        at all."""
+        """Send a body while it arrives, however slowly the client reads.
+
+        The backend connection at the other end checks that there is progress at all.
+        """
         try:
             while pieces := body_stream.pull():
                 on_progress(True)
                 send_all(self.sock, encode_chunk(pieces) if is_chunked else pieces)
         except OSError:
             if body_stream.length is None and not is_chunked:
-                # Its end is that of the connection, and a plain one would pass for the whole.
+                # This body ends with the connection, so a normal close would make it look complete.
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raise
         finally:
@@ -115,15 +122,17 @@
         body_stream.finish(True)
 
     def refuse(self, error: MalformedMessage) -> None:
-        """Answers what cannot be read as a request, and ends the connection."""
+        """Answer a malformed request and close the connection."""
         body = f"{error}\n".encode("ascii", "replace")
         with gevent.Timeout(READ_GRACE_TENTHS / SECOND):
             send_all(self.sock, [response_head(error.status, len(body), keep_alive=False), body])
         self.close_gracefully()
 
     def close_gracefully(self) -> None:
-        """Ends the connection behind an answer. Closing with bytes unread would send a reset, and that could
-        overtake it."""
+        """Shut down after an answer and read remaining input for a while.
+
+        Closing with unread bytes would send a reset, which could overtake the answer.
+        """
         self.write_closed = True
         self.sock.shutdown(socket.SHUT_WR)
         with gevent.Timeout(DRAIN_TIMEOUT_S, False):
--- a/src/nettledeal/net/transport/backend_connection.py
+++ b/src/nettledeal/net/transport/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to one backend, and the greenlet that carries exchanges over it, one at a time."""
+"""One connection to a backend and its greenlet, which performs one exchange at a time."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
     wait_readable,
 )
 
-# In seconds: so long a good answer whose length is not told may pause and still be kept whole.
+# A successful response of unknown length is buffered as long as it never pauses for longer than this.
 SHORT_PAUSE_S = 0.02
 
 
 class SharedLimits(Protocol):
-    """What the connections to all backends have in common."""
+    """What the connections to all backends share."""
 
     memory: MemoryPool
-    max_body_bytes: int  # bytes of a body
-    crowded: Callable[[], bool]  # whether places for clients are short
+    max_body_bytes: int
+    crowded: Callable[[], bool]  # whether client connections are scarce
 
     @property
     def current_connect_timeout(self) -> Time:
-        """How long a connection may take to come up."""
+        """How long connecting may take."""
 
     def record_connect(self, duration: Time | None) -> None:
-        """A connection took so long to come up; None where it did not."""
+        """Note how long connecting took; None if it timed out."""
 
 
 class BackendConnectionOwner(Protocol):
-    """The pool of a connection: all connections to one backend."""
+    """The pool that a connection belongs to: all connections to one backend."""
 
     pools: SharedLimits
     address: Address
@@ -57,20 +57,20 @@
     counters: Counters
     max_idle: Time
     closed: bool
-    got_stray_bytes: bool  # bytes have come that nobody asked for
+    got_stray_bytes: bool  # the backend has sent bytes that belong to no request
 
     def release(self, connection: BackendConnection) -> None:
-        """The connection waits for its next exchange."""
+        """The connection is idle and may be given an exchange."""
 
     def claim(self, connection: BackendConnection) -> None:
-        """It does not wait any more."""
+        """The connection is no longer idle."""
 
     def connection_closed(self, connection: BackendConnection) -> None:
-        """It is closed."""
+        """The connection is closed."""
 
 
 class BackendConnection:
-    """One connection to one backend, and the greenlet that has it."""
+    """One connection to a backend, owned by the greenlet that runs `run`."""
 
     def __init__(self, pool: BackendConnectionOwner):
         self.pool = pool
@@ -90,11 +90,11 @@
     def abort(self) -> None:
         self.aborted = True
         if self.relay is not None:
-            return  # what the backend still gives goes through
+            return  # let the response in progress finish
         if self.exchange is None:
             self.wake_event.set()
         elif self.sock is not None:
-            reset_connection(self.sock)  # ends whatever the greenlet waits for with an OSError
+            reset_connection(self.sock)  # whatever the greenlet waits for raises OSError
 
     def run(self) -> None:
         try:
@@ -104,11 +104,11 @@
                 try:
                     reply, keep = self._perform(self.exchange)
                 except Exception:
-                    # Whatever it was, whoever waits for this hand-off is told.
+                    # Whoever waits for this hand-off must be notified in any case.
                     self.pool.counters.record_exception(f"hand-off to {format_address(self.pool.address)}")
                     reply = self._failed_reply(self.exchange)
-                # By when it came to the connection: what it waits for its turn within the agent, before or
-                # after, must not pass for the backend's slowness.
+                # Measured from here to the arrival of the response: time that the request waits inside the
+                # agent, before or after, must not count as the backend's.
                 exchange, self.exchange = self.exchange, None
                 if exchange.upload is not None:
                     began_at = max(began_at, exchange.upload.ended_at)
@@ -117,7 +117,7 @@
                 if keep:
                     self.pool.release(self)
                 exchange.on_reply(reply)
-                # A connection may rest for long: it must not keep its last answer in memory.
+                # The connection may stay idle for long: don't keep the last response in memory.
                 del exchange, reply
                 if self.relay is not None and self._finish_relay():
                     keep = True
@@ -130,14 +130,14 @@
             self.pool.connection_closed(self)
 
     def _wait_idle(self) -> None:
-        """Until there is another exchange; the end of the connection or of its time comes first, or not."""
+        """Wait for the next exchange, the end of the connection or the idle timeout."""
         wait_readable(self.wake_event, self.sock, self.pool.max_idle / SECOND)
         self.wake_event.clear()
         self.pool.got_stray_bytes |= bool(peek_byte(self.sock))
         self.pool.claim(self)
 
     def _finish_relay(self) -> bool:
-        """Waits until the client's connection has pulled the rest; whether this one is of further use."""
+        """Wait until the client's connection has pulled the rest. Returns whether this one is reusable."""
         relay = self.relay
         try:
             return relay.wait(self.pool.pools.crowded) and not self.pool.closed and not self.aborted
@@ -148,7 +148,7 @@
         answer = ResponseReader(self.pool.pools.max_body_bytes, exchange.bodiless)
         timer = gevent.Timeout(max(0, exchange.deadline - self.pool.clock.now()) / SECOND)
         try:
-            # Nothing new is sent on what has ended meanwhile: it would be in doubt for no reason.
+            # Don't reuse a connection that has ended meanwhile: it would be unknown whether the request ran.
             if self.sock is not None and (seen := peek_byte(self.sock)) is not None:
                 self.pool.got_stray_bytes |= bool(seen)
                 self.sock.close()
@@ -159,7 +159,7 @@
                 self._connect()
                 skip_counter = self._skip_counter(exchange)
             if skip_counter:
-                # Sent all the same it would be work begun for nobody, and in doubt where nothing needs to be.
+                # Sending it would start work for nobody, and leave unknown whether it ran.
                 self.pool.counters[skip_counter] += 1
                 keep = self.sock is not None and not self.aborted and not self.pool.closed
                 return Reply(Outcome.UNSENT), keep
@@ -190,7 +190,7 @@
         if used is None:
             return self._start_relay(answer, exchange.is_probe), False
         reply = answer.probe_reply() if exchange.is_probe else answer.reply()
-        # Bytes that nobody asked for would be taken for the next answer.
+        # Stray bytes would be taken for the next response.
         self.pool.got_stray_bytes |= used < self.read_buffer.filled
         keep = (
             answer.keep_alive
@@ -202,10 +202,10 @@
         return reply, keep
 
     def _read_answer(self, answer: ResponseReader, probe: bool) -> int | None:
-        """The bytes that the answer takes; None if it is to be relayed."""
+        """Read a response. Returns the bytes that it takes in the buffer, or None if it must be relayed."""
         used = None
         while used is None:
-            # One whose length is not known is relayed as soon as it takes its time: it may be long.
+            # A response of unknown length is relayed as soon as it pauses: it may be long.
             count = None
             with gevent.Timeout(SHORT_PAUSE_S, False) if answer.may_be_long and not probe else nullcontext():
                 count = self.read_buffer.read(self.sock, answer.total_bytes, answer.retained_bytes)
@@ -220,8 +220,10 @@
         return used
 
     def _start_relay(self, answer: ResponseReader, probe: bool) -> Reply:
-        """The hand-off ends with the first bytes of a long answer; nobody needs the rest of one that is not
-        good."""
+        """End the hand-off with the first bytes of a long response and leave the rest to a relay.
+
+        The rest of an unsuccessful response is dropped.
+        """
         if probe:
             return Reply(Outcome.ERROR)
         reply = answer.reply()
@@ -241,15 +243,18 @@
         return reply
 
     def _stream_upload(self, exchange: Exchange) -> bool:
-        """Hands on what its client still sends; whether its last byte is the kernel's. Nothing has run before
-        that, whatever comes back."""
+        """Forward the rest of a client's long body. Returns False if it was claimed before, or stopped.
+
+        Until the kernel has the last byte (`fully_written`) the request hasn't run, whatever the backend
+        answers.
+        """
         upload, chunked = exchange.upload, exchange.upload.length is None
         if not upload.start():
             return False
         exchange.on_upload_start()
         while pieces := upload.pull():
             if peek_byte(self.sock) is not None:
-                # Turned away within, or gone.
+                # The backend has answered early, or is gone.
                 exchange.deadline = self.pool.clock.now() + SECOND
                 break
             with gevent.Timeout(STALL_TIMEOUT_S):
@@ -262,9 +267,11 @@
         return True
 
     def _skip_counter(self, exchange: Exchange) -> str:
-        """The counter of why it may not begin any more, if so. Asked before a connection is opened and again
-        right before the first byte, whatever was seen when it was decided: the wait for a turn or for a
-        connection lies between."""
+        """The counter of the reason why an exchange must not start any more, empty if it may.
+
+        Checked before connecting and again right before the first byte: the wait for the greenlet's turn or
+        for a connection lies in between.
+        """
         now = self.pool.clock.now()
         if exchange.cancelled or self.pool.closed:
             return "hand-offs recalled before they were sent"
@@ -278,12 +285,12 @@
 
     def _failed_reply(self, exchange: Exchange) -> Reply:
         if exchange.fully_written:
-            # After the last byte was given to the kernel nobody knows whether it ran.
+            # Once the kernel has the last byte it is unknown whether the request ran.
             return Reply(Outcome.RECALLED if exchange.cancelled else Outcome.RESET)
-        # What we or the client ended says nothing of the backend.
+        # If the agent or the client ended it, that says nothing about the backend.
         upload = exchange.upload
-        own_doing = exchange.cancelled or self.pool.closed or upload is not None and upload.is_abandoned
-        return Reply(Outcome.UNSENT if own_doing else Outcome.UNREACHABLE)
+        ended_locally = exchange.cancelled or self.pool.closed or upload is not None and upload.is_abandoned
+        return Reply(Outcome.UNSENT if ended_locally else Outcome.UNREACHABLE)
 
     def _connect(self) -> None:
         pool = self.pool
--- a/src/nettledeal/net/transport/backend_pools.py
+++ b/src/nettledeal/net/transport/backend_pools.py
@@ -1,4 +1,4 @@
-"""Pools of connections to backends: reused, bounded, closed before the backend does it."""
+"""Pools of backend connections: reused, bounded, and closed before the backend closes them."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 from nettledeal.net.transport.buffers import MemoryPool
 from nettledeal.net.transport.exchange import Exchange
 
-# The least patience for a connection to come up: the agent itself may be late by as much.
+# The agent itself may lag by as much.
 MIN_CONNECT_TIMEOUT_TENTHS = SECOND * 3 // 100
-# A backend that has once sent what nobody asked for may do so again, some milliseconds behind an answer: what
-# is written to that connection before would get it for its answer. So long it is left alone.
+# A backend that has once sent stray bytes may do so again, some milliseconds after a response; a request
+# written before that would take them for its response. A connection to such a backend isn't reused for this
+# long.
 STRAY_BYTES_WAIT_TENTHS = SECOND // 50
 
 
 class BackendPool:
-    """The connections to one backend at one address; the one used last is used first."""
+    """The connections to one backend at one address. The most recently used one is reused first."""
 
     def __init__(self, pools: BackendPools, address: Address):
         self.pools = pools
@@ -34,7 +35,7 @@
         self.idle: list[BackendConnection] = []
         self.connections: dict[BackendConnection, None] = {}
         self.closed = False
-        self.got_stray_bytes = False  # bytes have come that nobody asked for
+        self.got_stray_bytes = False  # the backend has sent bytes that belong to no request
 
     def send(self, exchange: Exchange) -> bool:
         connection = self._reusable_connection()
@@ -42,8 +43,8 @@
             self.claim(connection)
             connection.assign(exchange)
             return True
-        # A connection opened for a probe must not cost another backend one that work items could use: with
-        # few sockets they would all be opened anew, over and over.
+        # A probe must not evict an idle connection of another backend: with few sockets, connections would be
+        # opened over and over.
         if self.pools.budget.is_full if exchange.is_probe else not self.pools.make_room():
             return False
         connection = BackendConnection(self)
@@ -55,7 +56,7 @@
         return True
 
     def _reusable_connection(self) -> BackendConnection | None:
-        """The one used last that may be used again."""
+        """The most recently used idle connection that may be reused."""
         settled_before = self.clock.now() - STRAY_BYTES_WAIT_TENTHS
         for connection in reversed(self.idle):
             if not self.got_stray_bytes or connection.idle_since <= settled_before:
@@ -78,16 +79,16 @@
         self.pools.budget.release()
 
     def close(self) -> None:
-        """Its backend is gone, moved or wants nothing new: what rests ends now, the others once back."""
+        """The backend is gone, has moved or is draining: close idle connections now, busy ones when done."""
         self.closed = True
         for connection in list(self.connections):
-            # What is still connecting would send later than the word to stop.
+            # An exchange that is still connecting would be sent after the order to stop.
             if connection.exchange is None or not connection.exchange.started:
                 connection.abort()
 
 
 class BackendPools:
-    """All connections to backends, within one budget."""
+    """The pools of all backends, within one connection budget."""
 
     def __init__(
         self,
@@ -103,26 +104,29 @@
         self.counters = counters
         self.budget = budget
         self.memory = memory
-        self.max_body_bytes = max_body_bytes  # the longest body of an answer
+        self.max_body_bytes = max_body_bytes  # of a response
         self.max_connect_timeout = max_connect_timeout
-        self.slowest_connect: Time | None = None  # to come up, of late
-        # Well before the backend's own limit: what is written to a connection that it has just closed ends
-        # as a reset, and nobody knows whether it ran.
+        self.slowest_connect: Time | None = None  # time to connect, recently
+        # Well below the backend's own limit: a request written to a connection that the backend has just
+        # closed ends with a reset, and it is unknown whether it ran.
         self.max_idle = max(1, idle_limit // 2)
-        self.crowded: Callable[[], bool] = bool  # whether places for clients are short; told by the program
+        self.crowded: Callable[[], bool] = bool  # whether client connections are scarce; set by the agent
         self.pools: dict[str, BackendPool] = {}
-        self.idle: dict[BackendConnection, None] = {}  # the one that has rested longest first
+        self.idle: dict[BackendConnection, None] = {}  # longest idle first
 
     @property
     def current_connect_timeout(self) -> Time:
-        """How long a connection may take to come up: by what others took, as one lost on its way comes much
-        later or never, while its work item could be on time elsewhere; the told limit at most."""
+        """How long connecting may take: adapts to recent connects, up to the configured limit.
+
+        A connect whose packet was lost takes much longer or never succeeds, while the work item could still
+        be in time at another backend.
+        """
         if self.slowest_connect is None:
             return self.max_connect_timeout
         return min(self.max_connect_timeout, max(MIN_CONNECT_TIMEOUT_TENTHS, 8 * self.slowest_connect))
 
     def record_connect(self, duration: Time | None) -> None:
-        """After `took`, or not within the patience, which then grows: the way may have become longer."""
+        """Note how long connecting took. None is a timeout, which then grows: latency may be higher now."""
         if duration is not None:
             self.slowest_connect = max(duration, (self.slowest_connect or 0) * 3 // 4)
         elif self.slowest_connect is not None:
@@ -152,13 +156,13 @@
         return pool is not None and pool.send(exchange)
 
     def trim(self) -> None:
-        """What rests beyond the budget ends: it has become smaller."""
+        """Close idle connections beyond the budget, after it has become smaller."""
         for connection in list(self.idle)[: max(0, self.budget.in_use - self.budget.limit)]:
             connection.pool.claim(connection)
             connection.abort()
 
     def make_room(self) -> bool:
-        """Whether one more may be opened; the one that has rested longest makes room."""
+        """Whether one more connection may be opened; closes the longest idle one if needed."""
         if self.budget.is_full and self.idle:
             connection = next(iter(self.idle))
             connection.pool.claim(connection)
--- a/src/nettledeal/net/transport/budget.py
+++ b/src/nettledeal/net/transport/budget.py
@@ -1,4 +1,4 @@
-"""How many sockets and how much memory each side of the agent may hold, so that none can take all."""
+"""Divides sockets and memory between clients and backends, so that neither side can exhaust them."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from nettledeal.net.transport.buffers import MemoryPool
 
-# Clients over the budget whose request is read only to be turned away, rather than kept waiting.
+# Clients over the budget that are accepted only to answer them with 503, instead of letting them wait.
 MAX_OVERFLOW_CLIENTS = 8
-# Besides them, descriptors that are no connection: standard ones, the loop's own, the listener, the list of
-# backends with its successor, files that a library opens now and then.
+# Those, and descriptors for other uses: standard streams, the event loop, the listener, the discovery watch
+# and its successor, files that libraries open now and then.
 _RESERVED_DESCRIPTORS = MAX_OVERFLOW_CLIENTS + 20
-# Callers at the admin port at once; with them go its listener and one on its way in or out.
+# Concurrent callers at the admin port; besides them its listener and one that is connecting or leaving.
 MAX_ADMIN_CALLERS = 12
 _ADMIN_DESCRIPTORS = MAX_ADMIN_CALLERS + 2
-# Talk among agents: its two sockets, and streams there and back.
+# Membership among agents: its two sockets, and streams in both directions.
 MAX_MEMBERSHIP_STREAMS = 8
 _MEMBERSHIP_DESCRIPTORS = 2 * MAX_MEMBERSHIP_STREAMS + 2
 
 
 class ConnectionBudget:
-    """A count of the connections of one side, and of how many there may be."""
+    """Counts the connections of one side against their limit."""
 
     def __init__(self, limit: int):
         self.limit = limit
@@ -37,8 +37,8 @@
         self.in_use -= 1
 
 
-# What the agent takes with nothing to do, and what a connection takes with its greenlet and its first buffer
-# (measured: 18 and 9 to 12, a little more after hours).
+# Memory of an idle agent, and of a connection with its greenlet and initial buffer (measured: 18 MB, and 9 to
+# 12 KB; a little more after hours).
 _IDLE_FOOTPRINT_MB = 24
 _CONNECTION_KB = 16
 
@@ -51,7 +51,7 @@
     answers: MemoryPool
 
     def resize_to(self, other: ResourceBudgets) -> None:
-        """As large as the other ones from here on; what is held beyond that is given back by and by."""
+        """Take over the limits of `other`; what exceeds them is released gradually."""
         for own, target in (
             (self.clients, other.clients),
             (self.backends, other.backends),
@@ -64,9 +64,12 @@
 def split_resources(
     sockets: int, memory_mb: int, admin: bool = False, membership: bool = False
 ) -> ResourceBudgets:
-    """For clients and for backends. A work item takes one connection of each; backends get a little more,
-    since one that rests saves the next one's handshake. Half of the memory that is left is for connections,
-    half for messages on their way, so that neither silent nor talkative peers can use up the other's."""
+    """Divide sockets and memory between clients and backends.
+
+    A work item takes one connection on each side. Backends get slightly more, since an idle connection saves
+    the next request a handshake. Half of the remaining memory is for connections and half for messages, so
+    that neither silent peers nor those with large messages can use up all of it.
+    """
     left_kb = max(2048, (memory_mb - _IDLE_FOOTPRINT_MB) * 1024) // 2
     reserved = (
         _RESERVED_DESCRIPTORS
--- a/src/nettledeal/net/transport/buffers.py
+++ b/src/nettledeal/net/transport/buffers.py
@@ -1,19 +1,19 @@
-"""The buffers that connections read messages into, within one memory of memory."""
+"""Buffers that connections read messages into, accounted against a memory limit."""
 
 from __future__ import annotations
 
 from gevent import socket
 
-INITIAL_BYTES = 2048
+INITIAL_BYTES = 2048  # buffers up to this size are not counted
 RELAY_WINDOW_BYTES = 32 * 1024
 
 
 class OutOfMemory(Exception):
-    """No memory is left for a message to grow into."""
+    """No memory is left to grow the buffer of a message."""
 
 
 class MemoryPool:
-    """Memory for what goes beyond the first bytes of messages, over many connections."""
+    """A memory limit, in bytes, for buffers beyond their initial size, shared by many connections."""
 
     def __init__(self, limit: int):
         self.limit = limit
@@ -21,9 +21,9 @@
 
 
 class Buffer(bytearray):
-    """Counts against its memory for as long as anybody holds a slice of it, also after its connection."""
+    """Counts against its memory pool while anything holds a slice of it, even after its connection."""
 
-    __slots__ = ("counted", "memory")
+    __slots__ = ("counted_bytes", "memory")
 
     def __init__(self, size: int, memory: MemoryPool):
         self.counted_bytes = 0
@@ -40,8 +40,7 @@
 
 
 def relay_buffer(memory: MemoryPool) -> Buffer:
-    """What one relay reads into; a small one where memory is short, since what it carries can't be refused
-    any more."""
+    """The buffer of one relay; small if memory is short, as a relay in progress can't be refused."""
     try:
         return Buffer(RELAY_WINDOW_BYTES, memory)
     except OutOfMemory:
@@ -49,8 +48,11 @@
 
 
 class ReadBuffer:
-    """Holds one message at a time. Whoever still holds slices of one keeps its buffer; the connection
-    goes on with a new one, so nothing is copied but what has come behind the message."""
+    """Holds one message at a time.
+
+    A message whose slices are still in use keeps its buffer, and the connection continues with a new one:
+    only the bytes that arrived after the message are copied.
+    """
 
     def __init__(self, memory: MemoryPool, max_bytes: int):
         self.memory = memory
@@ -61,14 +63,17 @@
     def read(
         self, sock: socket.socket, total_bytes: int | None = None, retained_bytes: int | None = None
     ) -> int:
-        """Blocks; the number of bytes that came, 0 at the end. `whole` is the message's size, if known; where
-        only the first bytes are still needed, `kept` tells how many."""
+        """Read once from the socket, blocking. Returns the number of bytes, 0 at the end of the connection.
+
+        `total_bytes` is the size of the message, if known. If only the first bytes of the buffer are still
+        needed, `retained_bytes` tells how many.
+        """
         if self.filled == len(self.buffer) and (retained_bytes is None or self.filled < self.max_bytes):
-            # By what has come, not by what the head claims: a claim costs its sender nothing.
+            # Grow with the data received, not to the length that the head declares: declaring costs nothing.
             size = min(4 * len(self.buffer), total_bytes or self.max_bytes, self.max_bytes)
             if size <= self.filled:
                 raise OutOfMemory
-            # No slice is out before a message is whole, but one of its forerunner may be: so no resizing.
+            # Slices of the previous message may be in use, so the buffer can't be resized in place.
             grown = Buffer(size, self.memory)
             copied = self.filled if retained_bytes is None else retained_bytes
             grown[:copied] = memoryview(self.buffer)[:copied]
@@ -80,7 +85,7 @@
         return count
 
     def start_next_message(self, used_bytes: int) -> None:
-        """Starts on the message behind the first `used` bytes."""
+        """Drop the first `used_bytes` and continue with the next message."""
         self.replace_contents(memoryview(self.buffer)[used_bytes : self.filled])
 
     def replace_contents(self, contents: memoryview | bytes) -> None:
--- a/src/nettledeal/net/transport/client_connection.py
+++ b/src/nettledeal/net/transport/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: one request at a time, one answer to each."""
+"""A client's connection: one request at a time, one answer to each."""
 
 from __future__ import annotations
 
@@ -22,25 +22,24 @@
 from nettledeal.net.transport.relay import MAX_UPLOAD_TENTHS, MIN_UPLOAD_BYTES_PER_S, UPLOAD_GRACE_S, Upload
 from nettledeal.net.transport.sockets import disable_nagle, peek_byte, peer_closed, send_all, wait_readable
 
-# A head comes whole within this time, or its client is told and the place is free again: from the accept, or
-# from its first byte on a connection used before. From the last byte, a trickle would hold the place. A body
-# then has the pace of an upload.
+# A head must be complete within this time after the accept or, on a reused connection, after its first byte;
+# else the client gets an error and its connection is closed. Counting from the last byte would let a client
+# hold the connection with a trickle. For the body, the minimum rate of uploads applies.
 HEAD_TIMEOUT_S = 2.6
-# A connection that has been served rests for so long; the shorter time while half of the places are taken.
+# How long a connection that has been served may be idle; the shorter time while half of the places are taken.
 IDLE_TIMEOUT_S, CROWDED_IDLE_TIMEOUT_S = 60.0, 2.0
-# How often it is looked whether a client is still there whose next bytes wait unread, ahead of the end of its
-# connection: no attempt is to begin a tenth of a second after that.
+# How often to check for a disconnect behind unread bytes: no attempt may start later than 0.1 s after it.
 DISCONNECT_POLL_S = 0.04
 
 
 class ClientConnectionOwner(AnsweringListener, Protocol):
-    """The listener that has accepted a connection, with what all of its connections share."""
+    """The listener that accepted a connection, with what its connections share."""
 
     counters: Counters
     memory: MemoryPool
-    max_body_bytes: int  # bytes of a body
+    max_body_bytes: int
     draining: bool
-    open_uploads: int  # long requests that are still coming, or whose answer is out
+    open_uploads: int  # long requests that are arriving or being answered
     idle: dict[ClientConnection, Time]
     unserved: dict[ClientConnection, Time]
     reading: dict[ClientConnection, Time]
@@ -51,10 +50,10 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether most of the places are taken."""
+        """Whether most connections of the budget are in use."""
 
     def health_answer(self) -> PendingAnswer:
-        """The answer to a check of readiness."""
+        """The answer to a readiness check."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
         """The connection is closed."""
@@ -68,7 +67,7 @@
         self.sock = sock
         self.admitted = admitted
         self.read_buffer = ReadBuffer(listener.memory, MAX_BUFFERED_BYTES)
-        self.started_at = listener.clock.arrival_time()  # the accept, then the first byte of each request
+        self.started_at = listener.clock.arrival_time()  # of the connection, then of each further request
         self.has_served = False
         self.read_at: Time = 0
         self.wake_event = Event()
@@ -76,10 +75,10 @@
         self.writer = AnswerWriter(listener, sock)
 
     def request_close(self) -> None:
-        """Ends the connection between two requests, or within one that is not whole."""
+        """Close the connection unless it holds a complete request that isn't answered yet."""
         self.closing = True
         self.wake_event.set()
-        # One whose last bytes have just come is as good as whole: it would be lost.
+        # Don't close if unread bytes have arrived: they may complete the request, which would be lost.
         if self in self.listener.relaying or self in self.listener.reading and peek_byte(self.sock) is None:
             self.sock.close()
 
@@ -97,7 +96,7 @@
             self.listener.connection_closed(self)
 
     def _serve_one(self) -> bool:
-        """One request and its answer; whether another may follow."""
+        """Read and answer one request. Returns whether another may follow."""
         reader = RequestReader(self.listener.max_body_bytes)
         try:
             used = self._read_request(reader)
@@ -109,18 +108,18 @@
                 used = self._answer(reader, reader.request(), used)
         except MalformedMessage as error:
             self.listener.counters["requests malformed"] += 1
-            # Where it ends is in doubt, so nothing behind it can be read.
+            # It is unknown where the request ends, so nothing after it can be read.
             self.writer.refuse(error)
             return False
         except OutOfMemory:
-            # Nothing was passed on, so that trying again is harmless.
+            # Nothing was sent to a backend, so the client may safely retry.
             self.listener.counters["requests beyond the memory"] += 1
             self.writer.refuse(MalformedMessage(HTTPStatus.SERVICE_UNAVAILABLE, "no memory for it just now"))
             return False
         except (OSError, gevent.Timeout):
             raise
         except Exception:
-            # Ours, not the client's: it has sent a whole request, and gets a whole answer.
+            # A fault of the agent: the client's request was valid, so it gets a proper answer.
             self.listener.counters.record_exception("client connection")
             self.writer.refuse(MalformedMessage(HTTPStatus.INTERNAL_SERVER_ERROR, "a fault of the agent"))
             return False
@@ -131,7 +130,7 @@
         return self._keeps_open(reader)
 
     def _keeps_open(self, reader: RequestReader) -> bool:
-        """Whether the connection stays open behind its answer; one of HTTP/1.0 would have to be told so."""
+        """Whether the connection stays open after the answer; never with HTTP/1.0 (needs a header)."""
         return (
             reader.keep_alive
             and not reader.is_http_1_0
@@ -168,7 +167,7 @@
         return used
 
     def _seconds_left(self, headed_at: Time | None = None, reader: RequestReader | None = None) -> float:
-        """Until the head is to be whole or more of the body to have come, in seconds."""
+        """Seconds until the head must be complete, or until more of the body must have arrived."""
         now = self.listener.clock.now()
         if headed_at is None:
             return max(0.0, HEAD_TIMEOUT_S - (now - self.started_at) / SECOND)
@@ -176,11 +175,12 @@
         return max(0.0, UPLOAD_GRACE_S + received / MIN_UPLOAD_BYTES_PER_S - (now - headed_at) / SECOND)
 
     def _wait_for_request(self) -> bool:
-        """Waits between requests; whether another one begins."""
+        """Wait for the next request. Returns whether one begins."""
         listener = self.listener
         waiting = listener.idle if self.has_served else listener.unserved
         waiting[self] = listener.clock.now()
-        # Bytes stir it too: left as it was, the next wait would end at once and pass for silence.
+        # Arriving bytes also set the event: left set, the next wait would end at once and look like a
+        # timeout.
         self.wake_event.clear()
         idle_timeout_s = CROWDED_IDLE_TIMEOUT_S if listener.crowded else IDLE_TIMEOUT_S
         try:
@@ -190,18 +190,18 @@
                 )
         finally:
             waiting.pop(self, None)
-        # What has begun to come is read, whoever wants the place: it would be lost.
+        # A request that has begun to arrive is read even if the connection should close: it would be lost.
         return bool(peek_byte(self.sock))
 
     def _answer(self, reader: RequestReader, request: ClientRequest, used: int) -> int | None:
-        """The bytes of the read_buffer that are done with; None if no more can be read."""
+        """Answer a request. Returns the bytes of the read buffer used up, None if no more can be read."""
         pending = PendingAnswer(self.sock)
         if reader.ready_to_stream and not used:
             request.upload = self._start_upload(reader, request, pending)
             self.listener.open_uploads += 1
         try:
             if request.upload is not None and not self.listener.accepts_upload:
-                # They hold their places for as long as their clients care to send.
+                # Long requests hold their connections for as long as their clients take to send.
                 self.listener.counters["long requests deferred for want of places"] += 1
                 pending.put(HTTPStatus.SERVICE_UNAVAILABLE)
             elif self.admitted:
@@ -209,10 +209,10 @@
                 if handle is not None:
                     self._await_answer(handle, pending, request.upload)
                 if request.upload is not None and request.upload.error is not None:
-                    # No more of it comes, whatever was made of that meanwhile.
+                    # The upload is lost, whatever answer was put meanwhile.
                     raise request.upload.error
             else:
-                # Never passed on, so that trying again is harmless.
+                # It was never sent to a backend, so the client may safely retry.
                 self.listener.counters["turned away for want of sockets"] += 1
                 pending.put(HTTPStatus.SERVICE_UNAVAILABLE)
             self._send(reader, pending, request.upload)
@@ -233,34 +233,35 @@
         self.closing = self.closing or self.writer.write_closed
 
     def _on_progress(self, moving: bool) -> None:
-        """Some of a long answer goes out now, or no more of it will."""
+        """Note that part of a long answer is being sent, or that its streaming has ended."""
         self.listener.relaying.pop(self, None)
         if moving:
             self.listener.relaying[self] = self.listener.clock.now()
 
     def _start_upload(self, reader: RequestReader, request: ClientRequest, pending: PendingAnswer) -> Upload:
         def on_end() -> None:
-            # Its time runs from its last byte.
+            # The timeout of an upload starts at its last byte.
             if upload.error is None:
                 pending.deadline = upload.ended_at + pending.deadline - self.read_at - MAX_UPLOAD_TENTHS
             pending.ready.set()
 
         listener = self.listener
-        self.read_buffer.replace_contents(b"")  # its first bytes have been copied
+        self.read_buffer.replace_contents(b"")  # the first bytes of the body were copied
         upload = Upload(
             self.sock, reader.message.body_reader, listener.memory, listener.clock, len(request.body), on_end
         )
         return upload
 
     def _await_answer(self, handle: int, pending: PendingAnswer, upload: Upload | None) -> None:
-        watched = upload is None  # by its next byte; where bytes are not for here, its end is looked for
+        # Watch for readability; during an upload poll for a disconnect, as its bytes are read elsewhere.
+        watched = upload is None
         while pending.status is None:
             if upload is not None and upload.error is not None:
                 self.listener.client_left(handle)
                 return
             left = (pending.deadline - self.listener.clock.now()) / SECOND
             if left <= 0:
-                # Should not be: the routing answers in time. Whatever went wrong, the client is answered.
+                # The router should have answered by now; make sure that the client gets an answer anyway.
                 pending.put(HTTPStatus.GATEWAY_TIMEOUT)
                 self.listener.answer_overdue(handle)
                 return
@@ -272,9 +273,9 @@
             if upload is not None and not upload.is_open and upload.error is None:
                 watched, upload = not upload.leftover, None
             if pending.status is None and peer_closed(self.sock):
-                # One that has only ended its sending can still read, and gets the failure as an answer.
+                # A client that has only closed its sending side can still read the failure.
                 self.closing = True
                 pending.put(HTTPStatus.BAD_GATEWAY)
                 self.listener.client_left(handle)
             elif watched:
-                watched = peek_byte(self.sock) is None  # what is pipelined waits its turn
+                watched = peek_byte(self.sock) is None  # a pipelined request waits for its turn
--- a/src/nettledeal/net/transport/discovery_watch.py
+++ b/src/nettledeal/net/transport/discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list of backends: kept open, opened anew when it ends or falls silent, and moved."""
+"""Watches the list of backends at discovery; reconnects when the watch ends or falls silent."""
 
 from __future__ import annotations
 
@@ -18,27 +18,28 @@
 from nettledeal.net.protocol.discovery import CallDeclined
 from nettledeal.net.transport.sockets import disable_nagle, new_socket, send_all
 
-# What discovery has to tell counts as told six seconds after it had it and could be reached, whatever became
-# of the calls in between. A call goes on for no longer than a watch may say nothing, and the next begins
-# `LONGEST_REST` later at most: a call that hangs from before discovery came back leaves time for another, a
-# watch that has fallen silent for one that hangs and a third. Less patience with a service that is slow makes
-# it slower, as a call given up has cost it as much as one that was heard.
+# Changes must be known six seconds after discovery has them and can be reached, whatever happened to the
+# calls in between. A call is given up after SILENCE_TIMEOUT_S without a complete line, and the next one
+# begins at most MAX_WAIT_S later. So there is time for another call after one that hung from before discovery
+# came back, and for a hanging call and a third one after a watch that fell silent. Shorter timeouts would
+# make a slow service slower, as a call that is given up costs it as much as one that succeeds.
 #
-# A line comes every two seconds, so one overdue by a third of that is not waited for. In seconds, as all.
+# The watch sends a line every two seconds; it is given up when one is overdue by a third of that.
 SILENCE_TIMEOUT_S = 2.6
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 0.66
-# Turned away: callers that come back as often as after a loss would all be turned away again.
+# After a refusal for overload: callers that retried as fast as after a loss would all be refused again.
 FIRST_DECLINED_PAUSE_S = 0.25
 MAX_DECLINED_PAUSE_S = 2.0
-# Between two calls, and what is at least kept of it when a service asks for more: not all in one instant.
+# Limits of the random wait between two calls. The lower end stays below the upper one even if the service
+# asks for a long wait, so that callers don't all return at the same moment.
 MAX_WAIT_S, MAX_LEAST_WAIT_S = 2.0, 1.25
 
 log = structlog.get_logger()
 
 
 class Backoff:
-    """How long to wait before the next call; no two agents of a fleet wait alike."""
+    """Exponential backoff with jitter between calls."""
 
     def __init__(self, random: Random):
         self.random = random
@@ -50,8 +51,8 @@
     def next_pause_s(self, declined: CallDeclined | None) -> float:
         max_pause_s = MAX_PAUSE_S
         if declined is not None:
-            # Each of them halves its calls while they are too many, and comes when it is told to: but in time
-            # to hear of a change.
+            # Each caller halves its rate while discovery is overloaded and respects Retry-After, but only up
+            # to a limit that still lets it learn of a change in time.
             max_pause_s = MAX_DECLINED_PAUSE_S
             self.pause_s = max(self.pause_s, FIRST_DECLINED_PAUSE_S, declined.retry_after or 0.0)
         least_s, most_s = min(0.5 * self.pause_s, MAX_LEAST_WAIT_S), min(1.5 * self.pause_s, MAX_WAIT_S)
@@ -61,7 +62,7 @@
 
 
 class AddressWatch:
-    """The watch at one address."""
+    """The watch at one discovery address."""
 
     def __init__(
         self,
@@ -79,15 +80,13 @@
         self.catalogue = catalogue
         self.on_update = on_update
         self.on_lost = on_lost
-        # Heard last. None asks for the whole list: at a start with no list known, and after a line that could
-        # not be read, as the next ones leave out what it said. What was known at the start may be old: what
-        # has changed since then is much less to ask for, where all agents start at once.
+        # The last version received. None requests the full list: at a start without a known list, and after a
+        # malformed line, since later lines don't repeat its changes. A list known at the start may be old,
+        # but requesting only the changes since then is much cheaper when all agents start at once.
         self.version = version
-        self.is_live = False  # the list has been heard, and not been lost since
-        self.superseded = False  # another one takes its place: once lost, it does not come back
-        self.give_up_at = (
-            0.0  # by the monotonic clock: when the call is given up unless it says something whole
-        )
+        self.is_live = False  # the list was received and the watch not lost since
+        self.superseded = False  # replaced by another watch: doesn't reconnect once lost
+        self.give_up_at = 0.0  # monotonic time when the call is given up, unless a complete line arrives
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -111,8 +110,8 @@
             except OSError as error:
                 self.counters[f"list lost: {error}"] += 1
             except CallDeclined as error:
-                # No fault of what was told so far: asking for all of it again, by two calls where one was too
-                # many, would keep discovery too busy to answer any agent of a large fleet.
+                # What was received so far remains valid. Requesting the full list would take two calls
+                # instead of one and could keep discovery overloaded by a large fleet.
                 self.counters["list calls declined"] += 1
                 declined = error
             except MalformedCatalogue as error:
@@ -124,7 +123,7 @@
                 self.counters.record_exception("watch")
             self.is_live = False
             self.on_lost(self)
-            # Agents that lose the list together must not all come back in the same instant.
+            # Agents that lose the list together must not all reconnect at the same moment.
             gevent.sleep(self.backoff.next_pause_s(declined))
 
     def _handle_line(self, line: bytes | bytearray) -> None:
@@ -142,14 +141,14 @@
                 if response.is_complete:
                     self._handle_line(response.buffer)
                     return
-        raise MalformedCatalogue("the list was cut")
+        raise MalformedCatalogue("the list is incomplete")
 
     def _watch(self) -> Iterator[bytes]:
         with self._connect() as sock:
             send_all(sock, [discovery.watch_request(format_address(self.address), self.version or 0)])
             for response in self._read_response(sock):
                 if lines := response.take_lines():
-                    # Whole ones only: single bytes of one that never ends are no sign of life.
+                    # Only complete lines count: bytes of an endless line are no sign of life.
                     self.give_up_at = time.monotonic() + SILENCE_TIMEOUT_S
                 yield from lines
 
@@ -169,7 +168,7 @@
         return left_s
 
     def _read_response(self, sock: socket.socket) -> Iterator[discovery.DiscoveryResponse]:
-        """The answer, each time more of it has come."""
+        """Yield the response each time more of it has arrived."""
         response = discovery.DiscoveryResponse()
         buffer = bytearray(16 * 1024)
         while not response.is_complete:
@@ -182,7 +181,7 @@
 
 
 class DiscoveryWatch:
-    """The one watch that counts, and while that has heard nothing yet, the one that it follows."""
+    """The current watch and, after a change of address until it has data, the previous one."""
 
     def __init__(
         self,
@@ -207,15 +206,18 @@
             self.current.start()
 
     def change_address(self, address: Address) -> None:
-        """To another address at once; what the old one still says is heard until the new one has spoken, or
-        a change told in between would be missed."""
+        """Watch another address.
+
+        The old watch stays in use until the new one has received something, or changes in between would be
+        missed.
+        """
         if address == self.current.address:
             return
         if self.current.is_live:
             self.previous = self.current
             self.previous.superseded = True
         else:
-            # Moved again before it stood: its forerunner, if any, is the one that is still heard.
+            # Replaced before it received anything: the previous watch, if any, stays in use.
             self.current.stop()
         self.current = AddressWatch(address, *self.watch_arguments)
         if self.started:
@@ -231,6 +233,6 @@
     def _on_lost(self, watch: AddressWatch) -> None:
         if watch is self.previous:
             self.previous = None
-        # While either of them stands the list is not lost.
+        # While either watch is live the list is not lost.
         if self.previous is None and not self.current.is_live:
             self.on_lost()
--- a/src/nettledeal/net/transport/exchange.py
+++ b/src/nettledeal/net/transport/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a backend, on its way from whoever wants it to a connection."""
+"""One request to a backend with the callbacks for its result."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class Abortable(Protocol):
-    """The connection that carries an exchange."""
+    """The connection that an exchange was assigned to."""
 
     def abort(self) -> None:
-        """End it, and with it what is not yet written."""
+        """Close it; what is not written yet is not sent."""
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One exchange with a backend: what to send, how long to wait, whom to tell."""
+    """One exchange with a backend: what to send, how long to wait and whom to notify."""
 
     parts: list[bytes | memoryview]
     deadline: Time
     on_reply: Callable[[Reply], None]
     is_probe: bool = False
     connection: Abortable | None = None
-    fully_written: bool = False  # its last byte is the kernel's: from here on it may run
+    fully_written: bool = False  # the kernel has the last byte: the request may run from here on
     cancelled: bool = False
-    upload: Upload | None = None  # what is still to come of a long body, behind the parts
-    reply_timeout: Time = 0  # for the answer, from its last byte
-    on_upload_start: Callable[[], None] | None = None  # told when the first of it is asked for
-    bodiless: bool = False  # the answer has no body
-    begin_by: Time | None = None  # where it must not begin later, though its answer could still be in time
-    is_wanted: Callable[[], bool] | None = None  # whether its client is still there
-    started: bool = False  # some of it has been written
+    upload: Upload | None = None  # the rest of a long body, sent after `parts`
+    reply_timeout: Time = 0  # from the last byte of an upload
+    on_upload_start: Callable[[], None] | None = None  # called before the upload is first read
+    bodiless: bool = False  # the response has no body
+    begin_by: Time | None = None  # don't start later, even if the reply could be in time
+    is_wanted: Callable[[], bool] | None = None  # whether the client is still connected
+    started: bool = False  # writing has begun
 
     def cancel(self) -> None:
-        """Nobody waits for it any more: its connection ends, and with it what is not yet written."""
+        """Give up the exchange and close its connection; what is not written yet is not sent."""
         if not self.cancelled:
             self.cancelled = True
             if self.upload is not None:
--- a/src/nettledeal/net/transport/handover_folder.py
+++ b/src/nettledeal/net/transport/handover_folder.py
@@ -1,4 +1,4 @@
-"""The folder in which processes of one agent find each other: a locked file each, and a record beside it."""
+"""The folder where processes of one agent find each other: each has a locked file and a record next to it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     def __init__(self, folder: Path, id: str):
         self.folder = folder
         self.id = id
-        self.last_mtime_ns = 0  # the folder's time at the last look
-        self.has_others = True  # whether others were there then
+        self.last_mtime_ns = 0  # of the folder, at the last read
+        self.has_others = True  # whether other processes were found then
         path = self._path(id, _LOCK)
         new_path = path.with_suffix(".fresh")
-        # Locked before it can be seen, or it would pass for that of a dead process.
+        # Lock it before it gets its name, or others would take it for the file of a dead process.
         self.lock_fd = os.open(new_path, os.O_RDWR | os.O_CREAT | os.O_EXCL, 0o600)
         fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         os.rename(new_path, path)
@@ -30,18 +30,18 @@
         return self.folder / f"{_PREFIX}{id}{kind}"
 
     def write(self, record: bytes) -> None:
-        """Whole or not at all for whoever reads it meanwhile."""
+        """Replace the own record atomically."""
         new_path = self._path(self.id, ".fresh")
         new_path.write_bytes(record)
         os.replace(new_path, self._path(self.id, _RECORD))
 
     @property
     def may_have_changed(self) -> bool:
-        """Whether there may be something new: alone there is only the folder's time to look at."""
+        """Whether `read_others` may find something new. A lone process only compares the folder's mtime."""
         return self.has_others or os.stat(self.folder).st_mtime_ns != self.last_mtime_ns
 
     def read_others(self, read: Callable[[bytes], Any | None]) -> list[Any]:
-        """Records of other processes that live; what the dead have left goes."""
+        """Return the records of other live processes and delete the files of dead ones."""
         self.last_mtime_ns = os.stat(self.folder).st_mtime_ns
         records, self.has_others = [], False
         for path in self.folder.glob(f"{_PREFIX}*{_LOCK}"):
@@ -65,7 +65,7 @@
         try:
             lock_fd = os.open(path, os.O_RDWR)
         except OSError:
-            return False  # gone meanwhile
+            return False  # removed in the meantime
         try:
             fcntl.flock(lock_fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except OSError:
--- a/src/nettledeal/net/transport/listener.py
+++ b/src/nettledeal/net/transport/listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: accepts them within its budget, makes room, and lets them go."""
+"""The listener for clients: accepts connections within a budget, evicts idle ones and drains."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 from nettledeal.net.transport.pending_answer import PendingAnswer
 from nettledeal.net.transport.sockets import listening_socket, steer_connections
 
-# From this part of the places on, each new connection ends one that is silent or has rested longest.
+# Above this share of the budget, each new connection closes the oldest silent or longest idle one.
 RECLAIM_SHARE = 0.6
-# A request that takes longer to come than this gives up its place where places are short.
+# A request that takes longer than this to arrive may be evicted when the budget is used up.
 SLOW_REQUEST_TENTHS = SECOND
-# A client that reads nothing of a long answer for so long does, too.
+# So may a client that reads nothing of a long answer for this long.
 SLOW_READER_TENTHS = 2 * SECOND
-# Time enough for a client that has just connected to begin.
+# A client that has just connected is not evicted within this time.
 NEW_CONNECTION_TENTHS = SECOND // 10
 
-# A drain: after how many seconds each those go that have rested for so many. New clients come for 0.2 s, and
-# within 4 s nobody is to be left.
+# Steps of a drain: after a pause, close connections that have been idle for at least the second value. New
+# clients may connect for another 0.2 s, and within 4 s none must be left.
 DRAIN_STEPS_S = ((0.5, 1.0), (0.5, 0.8), (0.5, 0.6), (0.5, 0.4), (0.5, 0.2), (0.5, 0.0))
-# And from then on those that have said nothing for so long: they came all the same.
+# After these steps, close connections that were opened all the same and are idle for this long.
 DRAINED_IDLE_TENTHS = SECOND // 5
 
-# Until handshakes have settled that were under way when new connections were steered away, in seconds.
+# How long handshakes may take that were under way when new connections were steered to the successor.
 HANDSHAKE_SETTLE_S = 0.05
 
 
 class Listener:
-    """Accepts clients within its budget; those that hold no work item make room."""
+    """Accepts clients within its budget; connections without an open work item may be evicted."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         answer_overdue: Callable[[int], None],
         max_body_bytes: int = MAX_BUFFERED_BODY_BYTES,
     ):
-        self.max_body_bytes = max_body_bytes  # body of a request
+        self.max_body_bytes = max_body_bytes  # of a request
         self.clock = clock
         self.counters = counters
         self.budget = budget
@@ -63,16 +63,17 @@
         self.client_left = client_left
         self.answer_overdue = answer_overdue
         self.draining = False
-        self.quiesced = False  # drained by an operator: no new clients are wanted
-        # Counts drains, so that the end of one does not end the next.
+        self.quiesced = False  # drained by an operator: reports not ready
+        # Identifies the current drain, so that an old drain greenlet ends when a drain is resumed or
+        # restarted.
         self.drain_number = 0
         self.connections: dict[ClientConnection, None] = {}
-        self.open_uploads = 0  # long requests that are still coming, or whose answer is out
-        # Between requests and before the first one, since when; the longest first.
+        self.open_uploads = 0  # long requests that are arriving or being answered
+        # Waiting between requests, or before the first one, and since when; oldest first.
         self.idle: dict[ClientConnection, Time] = {}
         self.unserved: dict[ClientConnection, Time] = {}
-        self.reading: dict[ClientConnection, Time] = {}  # within one, since when
-        # Within a long answer, since when nothing of it went out.
+        self.reading: dict[ClientConnection, Time] = {}  # a request, since when
+        # Streaming a long answer, and since when no part of it was sent.
         self.relaying: dict[ClientConnection, Time] = {}
         self.sock = listening_socket(address, shared=True)
 
@@ -86,7 +87,7 @@
             except OSError as error:
                 if self.sock.closed:
                     return
-                # Out of descriptors for a moment, or a client that left before it was met.
+                # Out of descriptors for a moment, or the client left before it was accepted.
                 self.counters[f"accept failed: {error.strerror}"] += 1
                 self._make_room()
                 gevent.sleep(0.01)
@@ -106,8 +107,11 @@
         self.budget.release()
 
     def _make_room(self) -> bool:
-        """Whether one that holds no work item has given up its place: who has been served stays longest, or
-        hundreds that say nothing would drive out the usual clients."""
+        """Evict a connection that holds no open work item. Returns whether there is room now.
+
+        Connections that have been served are evicted late, or hundreds of silent ones would drive out the
+        usual clients.
+        """
         if not self._close_first(
             (self.unserved, NEW_CONNECTION_TENTHS),
             (self.reading, SLOW_REQUEST_TENTHS),
@@ -119,19 +123,21 @@
         return not self.budget.is_full
 
     def _close_longest_idle(self) -> None:
-        """Of those that say nothing, or else of those served that rest. Clients may hold only so many
-        connections, too: with all of them resting for good they could not ask any more, and nobody would
-        come to make room for."""
+        """Close the oldest connection that has sent nothing, or else the longest idle one that was served.
+
+        Clients have connection limits as well: if all their connections stayed idle for good, they couldn't
+        send requests any more, and no new connection would trigger an eviction.
+        """
         self._close_first((self.unserved, NEW_CONNECTION_TENTHS), (self.idle, 0))
 
     def _close_first(self, *groups: tuple[dict[ClientConnection, Time], Time]) -> bool:
-        """Whether there was one to be told to leave: in each group the longest one, if for so long."""
+        """Close the oldest connection of the first group where it has waited long enough, if any."""
         now = self.clock.now()
         for waiting, min_waiting in groups:
             connection, waiting_since = next(iter(waiting.items()), (None, now))
             if connection is not None and now - waiting_since >= min_waiting:
-                # It goes at its greenlet's turn only; named again until then, it would be the one place that
-                # many newcomers are given.
+                # It closes only at its greenlet's turn. If it stayed listed until then, several new
+                # connections would count on this one place.
                 connection.request_close()
                 waiting.pop(connection, None)
                 return True
@@ -147,11 +153,11 @@
 
     @property
     def busy(self) -> bool:
-        """Whether somebody sends a request, waits for an answer or is being sent one."""
+        """Whether any client is sending a request, waiting for an answer or receiving one."""
         return len(self.connections) > len(self.idle) + len(self.unserved)
 
     def close_idle(self, min_idle: Time = 0) -> None:
-        """Ends what is between requests, for so long; a client that wants more comes anew."""
+        """Close connections that have been between requests for `min_idle`; clients can reconnect."""
         now = self.clock.now()
         for connection, waiting_since in [*self.idle.items(), *self.unserved.items()]:
             if now - waiting_since >= min_idle:
@@ -163,8 +169,10 @@
         return PendingAnswer(status=HTTPStatus.OK, body=b"ok\n")
 
     def quiesce(self) -> None:
-        """Says no to whoever asks for health and lets clients go: each with its next answer, those that rest
-        once no new ones come. Whoever comes all the same is served."""
+        """Drain: report not ready, and close connections after their next answer or, step by step, when idle.
+
+        Clients that connect all the same are served.
+        """
         self.draining = self.quiesced = True
         self.drain_number += 1
         gevent.spawn(self._drain, self.drain_number)
@@ -174,7 +182,7 @@
         self.drain_number += 1
 
     def _drain(self, drain_number: int) -> None:
-        # Those that rest longest first: the next request of a client comes on the one used last.
+        # Longest idle first: a client sends its next request on the connection that it used last.
         for pause, min_idle in DRAIN_STEPS_S:
             gevent.sleep(pause)
             if drain_number != self.drain_number:
@@ -187,7 +195,7 @@
             self.close_idle(DRAINED_IDLE_TENTHS)
 
     def hand_over(self, successor_index: int) -> None:
-        """A successor listens at this address: new connections go there."""
+        """Let a successor that listens at the same address take all new connections."""
         self.draining = True
         if not steer_connections(self.sock, successor_index):
             self.counters["connections could not be steered"] += 1
@@ -195,10 +203,10 @@
         self.close()
 
     def close(self) -> None:
-        """No new clients: those that wait to be met are met first, since closing resets them."""
+        """Stop listening. Accepts what is in the accept queue first, since closing would reset it."""
         while not self.sock.closed:
             try:
-                # As `accept` does, but for the wait.
+                # As `accept` does, but without waiting.
                 descriptor, _ = self.sock._sock._accept()
             except OSError:
                 break
--- a/src/nettledeal/net/transport/peer_close_watcher.py
+++ b/src/nettledeal/net/transport/peer_close_watcher.py
@@ -1,7 +1,7 @@
-"""Tells of connections whose peer has ended its sending behind bytes that nobody has read.
+"""Detects that a peer has closed its sending side, even behind unread bytes.
 
-The loop's own watchers tell of bytes and of an end alike: once bytes wait unread, an end behind them is not
-told. One more set of descriptors, which the loop watches in its turn, is told of ends alone.
+The event loop's own watchers report bytes and a close alike: while unread bytes are waiting, a close behind
+them goes unnoticed. This module uses a separate epoll instance for close events only, which the loop watches.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from gevent import get_hub
 
 _READABLE = 1
-# Errors and resets are told without being asked for.
+# epoll always reports errors and resets as well.
 _CLOSE_EVENTS = select.EPOLLRDHUP
 
 
 class PeerCloseWatcher:
-    """The connections that are watched; `ended` callbacks run on the loop and must not wait."""
+    """Watches connections for a close. Callbacks run in the event loop and must not block."""
 
     def __init__(self) -> None:
         self._callbacks: dict[int, Callable[[], None]] = {}
@@ -25,7 +25,7 @@
         self._watcher = None
 
     def watch(self, descriptor: int, on_close: Callable[[], None]) -> None:
-        """Call `ended` once, when the peer has ended its sending or the connection has broken."""
+        """Call `on_close` once, when the peer has closed its sending side or the connection is broken."""
         if self._epoll is None:
             self._epoll = select.epoll()
             self._watcher = get_hub().loop.io(self._epoll.fileno(), _READABLE)
@@ -35,7 +35,7 @@
         self._epoll.register(descriptor, _CLOSE_EVENTS)
 
     def unwatch(self, descriptor: int) -> None:
-        """Stop watching; of a connection that is not watched nothing is done. To be called before a close."""
+        """Stop watching, if the descriptor is watched. Must be called before the descriptor is closed."""
         if self._callbacks.pop(descriptor, None) is None:
             return
         self._epoll.unregister(descriptor)
--- a/src/nettledeal/net/transport/pending_answer.py
+++ b/src/nettledeal/net/transport/pending_answer.py
@@ -1,4 +1,4 @@
-"""The answer to one request of a client, before it is known."""
+"""The answer to a client's request that is still being worked on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingAnswer:
-    """Where the answer to one request is put, once; its connection waits for it."""
+    """Receives the answer to one request, once; the client's connection waits for it."""
 
     sock: socket.socket | None = None
     ready: Event = field(default_factory=Event)
@@ -23,9 +23,9 @@
     body: memoryview | bytes = b""
     headers: bytes = b""
     retry_after: Time = 0
-    deadline: Time = 0  # the expiry
-    body_stream: BodyStream | None = None  # of a long body
-    abandoned: bool = False  # nobody waits any more
+    deadline: Time = 0  # when the client stops waiting
+    body_stream: BodyStream | None = None  # the rest of a long body
+    abandoned: bool = False  # the connection no longer waits for it
 
     def put(
         self,
@@ -43,8 +43,10 @@
 
     @property
     def is_wanted(self) -> bool:
-        """Whether somebody waits for the answer, as the kernel knows it now, also where the client's greenlet
-        has not got round to seeing that."""
+        """Whether the client still waits for the answer.
+
+        Asks the kernel, as the client's greenlet may not have noticed a disconnect yet.
+        """
         return (
             self.status is None
             and not self.abandoned
--- a/src/nettledeal/net/transport/relay.py
+++ b/src/nettledeal/net/transport/relay.py
@@ -1,6 +1,7 @@
-"""Long bodies on their way through: pulled by whoever sends them on, through one window each.
+"""Streams long bodies between client and backend through one fixed-size buffer each.
 
-Nothing is queued: no byte is read from one side before the last ones have gone out at the other.
+The sending side pulls. Nothing is queued: one side is read only after the previous bytes were sent on the
+other.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 from nettledeal.net.transport.buffers import MemoryPool, relay_buffer
 from nettledeal.net.transport.sockets import wait_readable
 
-# A relay in which nothing moves for so long ends, in seconds.
+# A relay that makes no progress for so long is ended.
 STALL_TIMEOUT_S = 15.0
-# The same while places for clients are short.
+# The same while client connections are scarce.
 CROWDED_STALL_TIMEOUT_S = 4.0
-# What a client's body may take: a grace, then a second for so many bytes. Only waiting for it counts.
+# Time for a client's body: a grace period, plus one second per so many bytes. Only time spent waiting counts.
 UPLOAD_GRACE_S, MIN_UPLOAD_BYTES_PER_S = 2.2, 48_000
-# The longest that a body may be on its way, as an expiry before its last byte has come.
+# The longest that an upload may take; until its last byte has arrived, expiries are extended by this.
 MAX_UPLOAD_TENTHS = 3600 * SECOND
 
 
 class Relay:
-    """What a backend has yet to send of an answer, for the client's connection to pull."""
+    """The rest of a backend's response, pulled by the client's connection."""
 
     def __init__(
         self,
@@ -50,15 +51,15 @@
         self.buffer = memoryview(b"")
         self.progress = 0
         self.finished = Event()
-        self.is_complete = False  # and nothing has come behind it
-        self.keep_alive = keep_alive  # whether the connection may carry another message
+        self.is_complete = False  # and no stray bytes came after it
+        self.keep_alive = keep_alive  # whether the backend keeps the connection open
 
     @property
     def length(self) -> int | None:
         return self.body.length
 
     def pull(self) -> list[memoryview | bytes]:
-        """Blocks; what has come, nothing once the body is whole. An error means that it never will be."""
+        """Block until more has arrived and return it; empty at the end. Raises if the rest is lost."""
         try:
             return self._pull()
         except MalformedMessage as error:
@@ -77,7 +78,7 @@
             self.progress += 1
             if not count:
                 if not self.body.finish_at_eof():
-                    raise ConnectionResetError("the answer broke off")
+                    raise ConnectionResetError("the response ended early")
                 break
             pieces = self.body.feed(self.buffer[:count])
             self.is_complete = self.body.is_complete and self.body.consumed_bytes == count
@@ -86,13 +87,16 @@
         return []
 
     def finish(self, is_complete: bool) -> None:
-        """Nobody pulls any more; who says so first knows."""
+        """End the relay; only the first call counts."""
         if not self.finished.is_set():
             self.is_complete = self.is_complete and is_complete
             self.finished.set()
 
     def wait(self, crowded: Callable[[], bool]) -> bool:
-        """By the connection that has the backend's socket: until it is back; whether it is of further use."""
+        """Wait until the relay has ended, for the backend connection that owns the socket.
+
+        Returns whether the connection may be reused.
+        """
         progress, stalled_s = -1, 0.0
         while not self.finished.wait(CROWDED_STALL_TIMEOUT_S):
             stalled_s = stalled_s + CROWDED_STALL_TIMEOUT_S if self.progress == progress else 0.0
@@ -104,7 +108,7 @@
 
 
 class Upload:
-    """What a client has yet to send of a request, for a connection to a backend to pull."""
+    """The rest of a client's request, pulled by a backend connection."""
 
     def __init__(
         self,
@@ -119,8 +123,8 @@
         self.body = body
         self.memory = memory
         self.clock = clock
-        self.on_end = on_end  # that it is whole, or never will be
-        self.replay_bytes = replay_bytes  # the bytes that are there to be sent again
+        self.on_end = on_end  # called when the body is complete or lost
+        self.replay_bytes = replay_bytes  # bytes kept so that they can be sent again
         memory.used_bytes += replay_bytes
         self.buffer = memoryview(b"")
         self.started = False
@@ -128,12 +132,12 @@
         self.stopped = False
         self.wake_event = Event()
         self.error: MalformedMessage | OSError | None = None
-        self.ended_at: Time = 0  # its last byte
-        self.leftover = b""  # what has come behind it
+        self.ended_at: Time = 0  # when the last byte arrived
+        self.leftover = b""  # bytes after the body
         self.waited_s = 0.0
 
     def close(self) -> None:
-        """Gives back its memory at once: it and whom it tells refer to each other."""
+        """Release its memory at once instead of at garbage collection: it is part of a reference cycle."""
         self.stop()
         self.memory.used_bytes -= self.replay_bytes
         self.replay_bytes, self.buffer, self.on_end, self.error = 0, memoryview(b""), bool, None
@@ -144,7 +148,7 @@
 
     @property
     def is_open(self) -> bool:
-        """More of it is to come, and somebody may want it."""
+        """The body is neither complete nor lost."""
         return not self.body.is_complete and self.error is None
 
     @property
@@ -152,12 +156,12 @@
         return self.stopped or self.error is not None
 
     def start(self) -> bool:
-        """By the one connection that hands it on; not for a second one, as what is pulled is gone."""
+        """Claim the upload; fails for a second connection, as bytes that were pulled are gone."""
         started, self.started = self.started, True
         return not started and not self.stopped
 
     def pull(self) -> list[memoryview]:
-        """Blocks; what has come, nothing once the body is whole. An error means that it never will be."""
+        """Block until more has arrived and return it; empty at the end. Raises if the rest is lost."""
         self.pulling = True
         try:
             while not self.body.is_complete:
@@ -167,7 +171,7 @@
             if not self.stopped:
                 self.error = error
                 self.on_end()
-            raise ConnectionAbortedError("no more of the request comes") from None
+            raise ConnectionAbortedError("the upload has ended early") from None
         finally:
             self.pulling = False
         return []
@@ -177,7 +181,7 @@
             self.buffer = memoryview(relay_buffer(self.memory))
         count = self._receive(wanted)
         if not count:
-            raise ConnectionResetError("the client ended within its request")
+            raise ConnectionResetError("the client closed the connection within its request")
         pieces = self.body.feed(self.buffer[:count])
         if self.body.is_complete:
             self.leftover = bytes(self.buffer[self.body.consumed_bytes : count])
@@ -192,19 +196,19 @@
         self.wake_event.clear()
         self.waited_s += (self.clock.now() - began_at) / SECOND
         if wanted and self.stopped:
-            raise ConnectionAbortedError("nobody wants it any more")
+            raise ConnectionAbortedError("the upload was stopped")
         try:
             return self.sock._sock.recv_into(self.buffer)
         except BlockingIOError:
             raise MalformedMessage(HTTPStatus.REQUEST_TIMEOUT, "it did not come whole") from None
 
     def stop(self) -> None:
-        """Nobody wants more of it."""
+        """Stop reading: the rest is no longer needed."""
         self.stopped = True
         self.wake_event.set()
 
     def discard(self) -> None:
-        """Reads what still comes, for its client may not look for an answer before it has sent all."""
+        """Read and drop the rest, as the client may not read the answer before it has sent everything."""
         self.stop()
         while self.pulling:
             gevent.sleep(0.001)
--- a/src/nettledeal/net/transport/sockets.py
+++ b/src/nettledeal/net/transport/sockets.py
@@ -1,4 +1,4 @@
-"""What both sides of the agent do with a socket."""
+"""Socket helpers that the client side and the backend side share."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 from nettledeal.net.address import Address
 
-# The kernel takes no more than a thousand at once, and few are quicker as one.
+# The kernel accepts at most about a thousand parts, and many small parts are faster joined into one.
 MAX_SENDMSG_PARTS = 32
 
 
-# SO_ATTACH_REUSEPORT_CBPF, which the library has no name for.
+# The socket module doesn't define this option.
 _SO_ATTACH_REUSEPORT_CBPF = 51
 
 
@@ -26,7 +26,7 @@
 
 
 def listening_socket(address: Address, shared: bool = False) -> socket.socket:
-    """A listening socket; a shared one lets a successor listen at the same address, beside it."""
+    """A listening socket. A shared one lets a successor process listen at the same address (SO_REUSEPORT)."""
     sock = new_socket(address)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -41,9 +41,12 @@
 
 
 def steer_connections(sock: socket.socket, index: int) -> bool:
-    """New connections to the port go to that one of those that listen there, in the order in which they
-    began; whether the kernel takes that. Of a number that is none any more, it shares them out as before."""
-    # One instruction: return the number.
+    """Direct new connections on a shared port to one listener; returns whether the kernel accepts that.
+
+    `index` counts the listeners in the order in which they began to listen. If there is no listener with that
+    index any more, the kernel distributes connections as before.
+    """
+    # A BPF program of one instruction: return the index.
     program = array("B", struct.pack("HBBI", 0x06, 0, 0, index))
     program_address, _ = program.buffer_info()
     try:
@@ -54,14 +57,14 @@
 
 
 def disable_nagle(sock: socket.socket) -> None:
-    # Messages go out whole: waiting for more to send would only delay their last part.
+    # Messages are written as a whole, so Nagle's algorithm would only delay their last part.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def send_all(sock: socket.socket, parts: Sequence[bytes | memoryview]) -> None:
-    """Returns once the last byte is the kernel's; an error means that it is not."""
+    """Return once the kernel has taken the last byte; an exception means that it hasn't."""
     if len(parts) > MAX_SENDMSG_PARTS:
-        parts = [b"".join(parts)]  # chunks of a few bytes each
+        parts = [b"".join(parts)]  # for example chunks of a few bytes each
     left = [memoryview(part) for part in parts if len(part)]
     while left:
         sent = sock.sendmsg(left)
@@ -73,16 +76,18 @@
 
 
 def reset_connection(sock: socket.socket) -> None:
-    """Ends a connection with a reset, so that the kernel drops what has been written and has not arrived.
-    After an end in order it would send that again until it arrives, once a link that was down is up: work
-    begun for nobody, or beside its second copy."""
+    """Close a connection with a reset, so that the kernel discards data that has not been delivered.
+
+    After a normal close it would go on retransmitting, and deliver the request once a link that was down is
+    up again: the work would run for nobody, or in addition to its retry.
+    """
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def wait_readable(event: Event, sock: socket.socket, seconds: float | None) -> None:
-    """Until the event is set, the socket has something to read or the time is over."""
+    """Wait until the event is set, the socket is readable (which sets the event) or time is up."""
     watcher = get_hub().loop.io(sock.fileno(), 1)
     watcher.start(event.set)
     try:
@@ -93,9 +98,9 @@
 
 
 def peek_byte(sock: socket.socket) -> bytes | None:
-    """The next byte, nothing at an end or a break, None while nothing has come."""
+    """The next byte, empty if the connection has ended or is broken, None if nothing has arrived."""
     try:
-        # The socket below is never a blocking one; asked through gevent it would wait.
+        # Use the underlying non-blocking socket: the gevent one would wait.
         return sock._sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return None
@@ -104,8 +109,10 @@
 
 
 def peer_closed(sock: socket.socket) -> bool:
-    """Whether the peer has ended its sending, or the connection has: also behind bytes that nobody has read,
-    where `peek` does not see that far."""
+    """Whether the peer has closed its sending side or the connection is broken.
+
+    Also detects a close behind unread bytes, which `peek_byte` can't see.
+    """
     seen = peek_byte(sock)
     if not seen:
         return seen is not None
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -184,7 +184,7 @@
     hands = Hands()
     monkeypatch.setattr("nettledeal.net.clock.time", hands)
     clock, seen = Clock(), []
-    clock.attend()
+    clock.track_loop()
     near, far = socket.socketpair()
     gevent.spawn(lambda: (far.recv(1), seen.append((clock.arrival_time(), clock.now()))))
     gevent.sleep(0.001)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -211,7 +211,7 @@
 def test_a_wake_that_is_due_is_not_kept_waiting_by_a_full_queue():
     desk = Desk()
     order = []
-    desk.router._on_wake = lambda: (order.append("wake"), setattr(desk.router, "wake", None))
+    desk.router._on_wake = lambda: (order.append("wake"), setattr(desk.router, "wake_at", None))
     for _ in range(3):
         desk.router.queue.put((lambda: order.append("event"), ()))
     desk.router.wake_at = desk.clock.now()
@@ -349,7 +349,7 @@
 
 def test_an_order_nobody_waits_for_any_more_is_not_carried_out(monkeypatch):
     desk = Desk()
-    monkeypatch.setattr(desk.router, "_ordered", lambda: None)  # too busy
+    monkeypatch.setattr(desk.router, "_run_commands", lambda: None)  # too busy
     with pytest.raises(gevent.Timeout), gevent.Timeout(0.01):
         desk.router.cordon("b0")
     assert not desk.router.commands
