--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,35 +10,45 @@
     encode_chunk,
 )
 
-MOST = 100_000
+MAX_BYTES = 100_000
 PAYLOAD = bytes(range(256)) * 8
 PARTS = [PAYLOAD[n : n + 300] for n in range(0, len(PAYLOAD), 300)]
 CHUNKS = b"".join(b"%X\r\n%b\r\n" % (len(part), part) for part in PARTS)
 FORMS = {
-    "told": (lambda: SizedBody(MOST, len(PAYLOAD)), PAYLOAD, PAYLOAD, b"next"),
-    "nothing told": (lambda: SizedBody(MOST, 0), b"", b"", b"next"),
-    "to the end": (lambda: BodyUntilClose(MOST), PAYLOAD, PAYLOAD, b""),
-    "chunked": (lambda: ChunkedBody(MOST), CHUNKS + b"0\r\n\r\n", PAYLOAD, b"next"),
-    "one byte a chunk": (lambda: ChunkedBody(MOST), b"1\r\na\r\n" * 90 + b"00\r\n\r\n", b"a" * 90, b"GET /"),
+    "told": (lambda: SizedBody(MAX_BYTES, len(PAYLOAD)), PAYLOAD, PAYLOAD, b"next"),
+    "nothing told": (lambda: SizedBody(MAX_BYTES, 0), b"", b"", b"next"),
+    "to the end": (lambda: BodyUntilClose(MAX_BYTES), PAYLOAD, PAYLOAD, b""),
+    "chunked": (lambda: ChunkedBody(MAX_BYTES), CHUNKS + b"0\r\n\r\n", PAYLOAD, b"next"),
+    "one byte a chunk": (
+        lambda: ChunkedBody(MAX_BYTES),
+        b"1\r\na\r\n" * 90 + b"00\r\n\r\n",
+        b"a" * 90,
+        b"GET /",
+    ),
     "extensions": (
-        lambda: ChunkedBody(MOST),
+        lambda: ChunkedBody(MAX_BYTES),
         b'2;a=b;c="d e"\r\nhi\r\n1 \t; x\r\n!\r\n0;z\r\n\r\n',
         b"hi!",
         b"\r\n",
     ),
-    "trailers": (lambda: ChunkedBody(MOST), b"2\r\nhi\r\n0\r\nX-Sum: 1\r\nEtag:\r\n\r\n", b"hi", b"next"),
-    "no chunk": (lambda: ChunkedBody(MOST), b"0\r\n\r\n", b"", b"next"),
+    "trailers": (
+        lambda: ChunkedBody(MAX_BYTES),
+        b"2\r\nhi\r\n0\r\nX-Sum: 1\r\nEtag:\r\n\r\n",
+        b"hi",
+        b"next",
+    ),
+    "no chunk": (lambda: ChunkedBody(MAX_BYTES), b"0\r\n\r\n", b"", b"next"),
 }
 
 
-def cuts(text, how):
+def split(text, how):
     if how == "whole":
         return [text]
     if how == "bytes":
         return [text[n : n + 1] for n in range(len(text))]
-    chance, found = Random(how), []
+    random, found = Random(how), []
     while text:
-        size = chance.choice((1, 2, 3, 7, 60, 400))
+        size = random.choice((1, 2, 3, 7, 60, 400))
         found.append(text[:size])
         text = text[size:]
     return found
@@ -46,10 +56,10 @@
 
 @pytest.mark.parametrize("how", ["whole", "bytes", *range(8)])
 @pytest.mark.parametrize("form", FORMS)
-def test_however_it_is_cut_a_body_is_the_same(form, how):
-    make, text, payload, behind = FORMS[form]
+def test_body_is_the_same_however_it_is_split(form, how):
+    make, text, payload, following = FORMS[form]
     body, found, used = make(), b"", 0
-    for piece in cuts(text + behind, how):
+    for piece in split(text + following, how):
         if body.is_complete:
             break
         found += b"".join(body.feed(memoryview(piece)))
@@ -60,7 +70,7 @@
 
 
 @pytest.mark.parametrize("form", ["told", "chunked", "trailers"])
-def test_cut_anywhere_it_is_not_whole(form):
+def test_truncated_body_is_not_complete(form):
     make, text, _, _ = FORMS[form]
     for end in range(len(text)):
         body = make()
@@ -96,22 +106,22 @@
 
 @pytest.mark.parametrize("how", ["whole", "bytes"])
 @pytest.mark.parametrize("text", BAD)
-def test_chunks_that_another_reader_may_read_otherwise_are_refused(text, how):
-    body = ChunkedBody(MOST)
+def test_ambiguous_chunks_are_refused(text, how):
+    body = ChunkedBody(MAX_BYTES)
     with pytest.raises(MalformedMessage):
-        for piece in cuts(text, how):
+        for piece in split(text, how):
             body.feed(memoryview(piece))
         assert not body.is_complete
         raise AssertionError("taken")
 
 
-def test_no_body_grows_beyond_what_is_allowed():
+def test_body_beyond_the_limit_is_refused():
     body = BodyUntilClose(10)
     body.feed(memoryview(bytes(10)))
     with pytest.raises(MalformedMessage):
         body.feed(memoryview(b"x"))
 
 
-def test_a_chunk_of_nothing_is_none_since_it_would_end_the_body():
+def test_empty_payload_encodes_no_chunk():
     assert b"".join(encode_chunk([])) == b""
     assert b"".join(encode_chunk([memoryview(b"ab"), b"c"])) == b"3\r\nabc\r\n"
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import SECOND, Drive, answers, hand_offs, settings
 from test_program import TOLD, changed
-from test_router import Desk
+from test_router import RouterRig
 
 from nettledeal.configuration import check
 from nettledeal.configuration_change import check_replacement
@@ -119,15 +119,15 @@
 
 
 def test_an_owner_on_loopback_counts_what_it_began_afresh_and_serves_on():
-    desk = Desk()
-    pending, _ = desk.take()
-    desk.router.update_settings(
+    rig = RouterRig()
+    pending, _ = rig.submit()
+    rig.router.update_settings(
         MOVED | {"categories.0.name": "read", "categories.1.name": "write"}, {}, {}, 100
     )
-    desk.out().on_reply(Reply(Outcome.FINISHED, report={}))
-    assert desk.answered(pending).value == 200
-    assert desk.counters["begun afresh: limit"] == 1
-    assert len(desk.router.balancer.state.subsets[0]) <= SUBSET
+    rig.nth_exchange().on_reply(Reply(Outcome.FINISHED, report={}))
+    assert rig.status_of(pending).value == 200
+    assert rig.counters["begun afresh: limit"] == 1
+    assert len(rig.router.balancer.state.subsets[0]) <= SUBSET
 
 
 FAULTY = [
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -14,7 +14,7 @@
 def read(text):
     reader = RequestReader()
     buffer = bytearray(text)
-    # However it is cut, the message is the same.
+    # The message is the same however it is split.
     for filled in range(len(buffer)):
         assert reader.parse(buffer, filled) is None
     assert reader.parse(buffer, len(buffer)) == len(buffer)
@@ -33,7 +33,7 @@
         (b"", "is_retry", False),
         (b"X-Attrs: billing=3,effort=12050001,partition_key=ab,more=1\r\n", "customer", "3"),
         (b"X-Attrs: billing=3, partition_key=ab\r\n", "key", "ab"),
-        # What cannot be read says nothing.
+        # Unreadable values are ignored.
         (b"X-Attrs: billing=x,effort=,partition_key=,,=\r\n", "customer", "x"),
         (b"X-Tenant-Id: rose-hill\r\nX-Cost: 47837\r\n", "customer", "rose-hill"),
         (b"X-Route-Key: 00a1\r\n", "key", "00a1"),
@@ -43,7 +43,7 @@
         (b"Content-Length: 0\r\n", "body", b""),
     ],
 )
-def test_what_a_request_says(more, field, value):
+def test_request_fields(more, field, value):
     assert getattr(read(HEAD + more + b"\r\n"), field) == value
 
 
@@ -56,7 +56,7 @@
         HEAD + b"Content-Length: +5\r\n\r\n",
         HEAD + b"Content-Length: 5, 5\r\n\r\n",
         HEAD + b"Content-Length : 5\r\n\r\n",
-        # For the next reader the head might end here.
+        # Another parser might take this as the end of the head.
         HEAD + b"X: 1\n\nGET / HTTP/1.1\r\n\r\n",
         HEAD + b"X: 1\rY: 2\r\n\r\n",
         5 * b"\r\n" + HEAD + b"\r\n",
@@ -65,21 +65,21 @@
         HEAD + b"no colon\r\n\r\n",
     ],
 )
-def test_requests_that_make_no_sense(text):
+def test_malformed_requests(text):
     with pytest.raises(MalformedMessage):
         RequestReader().parse(bytearray(text), len(text))
 
 
-def test_empty_lines_before_a_request_are_no_request():
+def test_empty_lines_before_a_request_are_skipped():
     assert read(b"\r\n\r\n" + HEAD + b"\r\n").forwarded_headers == HEAD.partition(b"\r\n")[2]
 
 
-def test_a_hand_off_goes_on_as_it_came():
+def test_hand_off_is_forwarded_unchanged():
     more = b"Route: 7\r\nAccept: a\r\nAccept: b\r\nConnection: x-hop\r\nX-Hop: 1\r\nTE: x\r\n"
     request = read(HEAD + more + b"X-Timeout-Ms: 900\r\n" + b"Content-Length: 4\r\n\r\nbody")
     text = b"".join(backend.encode_hand_off(request, 4567))
     assert text.startswith(b"POST /api?x=1 HTTP/1.1\r\n")
-    # What a line of the head means is for the two ends to know, unless it concerns the connection.
+    # End-to-end headers are forwarded unchanged, hop-by-hop headers are not.
     for line in (b"Host: s", b"X-Request-ID: r1", b"Route: 7", b"Accept: a", b"Accept: b"):
         assert text.count(b"\r\n" + line + b"\r\n") == 1
     assert b"X-Timeout-Ms: 456\r\nContent-Length: 4\r\n\r\n" in text
@@ -87,7 +87,7 @@
         assert gone not in text
 
 
-def test_an_answer_goes_back_with_its_lines_but_those_for_the_agent():
+def test_answer_headers_are_forwarded_except_those_for_the_agent():
     text = b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Server-Load: queue=1\r\nContent-Length: 2\r\n\r\nok"
     replying = ResponseReader()
     assert replying.parse(bytearray(text), len(text)) == len(text)
@@ -123,14 +123,14 @@
         (ENTRY + b',"lifecycle":"draining"}', Listing("s1", Life.DRAINING, zone=1, kind=0, cell=3)),
         (ENTRY + b',"lifecycle":"gone"}', Listing("s1", Life.GONE, zone=1, kind=0, cell=3)),
         (b'{"instanceId":"s1","lifecycle":"gone"}', Listing("s1", Life.GONE, zone=-1, kind=-1)),
-        # A word not known yet is no promise that new work is wanted.
+        # An unknown lifecycle counts as draining.
         (ENTRY + b',"lifecycle":"resting"}', Listing("s1", Life.DRAINING, zone=1, kind=0, cell=3)),
         (
             ENTRY + b',"startedAtMs":1700000000123,"weight":2}',
             Listing("s1", zone=1, kind=0, cell=3, size=2.0, started=17_000_000_001_230),
         ),
         (ENTRY + b',"weight":-1,"brand":"new"}', Listing("s1", zone=1, kind=0, cell=3)),
-        # One that cannot be read must not cost the others.
+        # An unreadable entry must not invalidate the others.
         (b'{"instanceId":"s1","hostPort":"nowhere"}', None),
         (b'{"instanceId":"s1","hostPort":"h:99999"}', None),
         (b'{"hostPort":"h:9"}', None),
@@ -138,20 +138,20 @@
         (b"5", None),
     ],
 )
-def test_entries_of_the_list(entry, listing):
+def test_catalogue_entries(entry, listing):
     other = b'{"instanceId":"s2","hostPort":"10.1.0.19:7070"}'
     line = b'{"generation":4,"reset":true,"instances":[' + entry + b"," + other + b"]}"
-    news = Catalogue(["a", "b"], ["m2"]).parse(line)
-    assert (news.generation, news.is_full, news.unreadable_entries) == (4, True, listing is None)
-    # Changes are asked for from there, unless it has holes that none of them would fill.
-    assert news.resume_version == (4 if listing else None)
-    assert news.listings[0] == listing if listing else len(news.listings) == 1
-    assert news.addresses["s2"] == ("10.1.0.19", 7070)
+    update = Catalogue(["a", "b"], ["m2"]).parse(line)
+    assert (update.generation, update.is_full, update.unreadable_entries) == (4, True, listing is None)
+    # Watched from that version, unless unreadable entries left holes that no change would fill.
+    assert update.resume_version == (4 if listing else None)
+    assert update.listings[0] == listing if listing else len(update.listings) == 1
+    assert update.addresses["s2"] == ("10.1.0.19", 7070)
 
 
 @pytest.mark.parametrize(
     "line", [b"{", b"[]", b"{}", b'{"generation":"x","instances":[]}', b'{"generation":1}', b"\xff\xfe"]
 )
-def test_lines_that_make_no_sense(line):
+def test_malformed_catalogue_lines(line):
     with pytest.raises(MalformedCatalogue):
         Catalogue([], []).parse(line)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Long messages through the whole agent: listener, router, pools, and peers of ours at either end."""
+"""Long messages through listener, router and pools, with test peers at both ends."""
 
 import gevent
 import pytest
@@ -66,7 +66,7 @@
         return Peer(socket.create_connection(self.listener.sock.getsockname()))
 
     @property
-    def rests(self):
+    def is_idle(self):
         return not (
             self.router.busy or self.listener.busy or self.requests.used_bytes or self.answers.used_bytes
         )
@@ -79,13 +79,13 @@
     return head + (b"Content-Length: %d\r\n" % len(body) if length else b"") + b"\r\n" + body
 
 
-def in_chunks(body, size):
+def encode_chunks(body, size):
     pieces = (body[n : n + size] for n in range(0, len(body), size))
     return b"".join(b"%x;e=1\r\n%b\r\n" % (len(piece), piece) for piece in pieces) + b"0\r\nX-T: 1\r\n\r\n"
 
 
-def says(*texts, close=False, pause=0.0):
-    """Hears a request's head, and sends the texts."""
+def responds(*texts, close=False, pause=0.0):
+    """A script that reads a request's head and sends the texts."""
 
     def script(peer):
         while peer.hear():
@@ -99,8 +99,8 @@
     return script
 
 
-def all_of(peer):
-    """Up to the end of the connection."""
+def read_to_end(peer):
+    """Read up to the end of the connection."""
     seen = b""
     while more := peer.sock.recv(65536):
         seen += more
@@ -122,8 +122,8 @@
 
 ANSWERS = {
     "told": (served(LONG), False),
-    "chunked": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(LONG, 9_999), False),
-    "small chunks": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(LONG[:100_000], 7), False),
+    "chunked": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG, 9_999), False),
+    "small chunks": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG[:100_000], 7), False),
     "to the end": (OK + b"Connection: close\r\n\r\n" + LONG, True),
     "HTTP/1.0": (b"HTTP/1.0 200 OK\r\n\r\n" + LONG, True),
 }
@@ -131,19 +131,19 @@
 
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 @pytest.mark.parametrize("form", ANSWERS)
-def test_a_long_answer_reaches_its_client_byte_by_byte(form, version):
+def test_long_answer_reaches_the_client_unchanged(form, version):
     text, close = ANSWERS[form]
-    agent = Agent(Far(says(text, close=close)))
+    agent = Agent(Far(responds(text, close=close)))
     client = agent.connect().send(ask(more=b"Connection: close\r\n", version=version))
-    seen = all_of(client)
+    seen = read_to_end(client)
     assert payload(seen) == (LONG[:100_000] if form == "small chunks" else LONG)
-    assert until(lambda: agent.rests)
-    # One that was whole leaves its connection for the next.
+    assert until(lambda: agent.is_idle)
+    # After a complete response the connection can be reused.
     assert agent.pools.budget.in_use == (not close)
 
 
-def test_a_connection_goes_on_behind_a_long_answer_at_either_end():
-    far = Far(says(served(LONG)))
+def test_connections_are_reused_after_a_long_answer():
+    far = Far(responds(served(LONG)))
     agent = Agent(far)
     client = agent.connect()
     for n in range(3):
@@ -151,7 +151,7 @@
     assert len(far.peers) == 1 == len(agent.listener.connections)
 
 
-def test_the_first_bytes_do_not_wait_for_the_rest():
+def test_first_bytes_do_not_wait_for_the_rest():
     go = gevent.event.Event()
 
     def script(peer):
@@ -163,45 +163,45 @@
     agent = Agent(Far(script))
     client = agent.connect().send(ask().replace(b"3000", b"100"))
     assert client.sock.recv(100).startswith(OK)
-    gevent.sleep(0.15)  # its expiry: nothing is cut off that still comes
+    gevent.sleep(0.15)  # past its expiry: a response that is still arriving isn't cut off
     go.set()
-    assert len(all_of_length(client, len(LONG))) >= len(LONG) - 100
+    assert len(read_length(client, len(LONG))) >= len(LONG) - 100
 
 
-def all_of_length(client, count):
+def read_length(client, count):
     seen = b""
     while len(seen) < count - 100:
         seen += client.sock.recv(65536)
     return seen
 
 
-def test_one_of_unknown_length_that_takes_its_time_is_passed_on_as_it_comes():
+def test_slow_response_of_unknown_length_is_streamed():
     head = OK + b"Transfer-Encoding: chunked\r\n\r\n"
-    far = Far(says(head + b"2\r\nab\r\n", b"2\r\ncd\r\n", b"0\r\n\r\n", pause=0.06))
+    far = Far(responds(head + b"2\r\nab\r\n", b"2\r\ncd\r\n", b"0\r\n\r\n", pause=0.06))
     agent = Agent(far)
     seen = agent.connect().send(ask(more=b"Connection: close\r\n"))
-    assert payload(all_of(seen)) == b"abcd"
+    assert payload(read_to_end(seen)) == b"abcd"
 
 
 @pytest.mark.parametrize(
     "text",
     [
         served(LONG)[:500_000],
-        OK + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(LONG, 9_999)[:500_000],
-        OK + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(LONG, 9_999)[:500_000] + b"\r\nnoise\r\n",
+        OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG, 9_999)[:500_000],
+        OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG, 9_999)[:500_000] + b"\r\nnoise\r\n",
     ],
 )
-def test_a_break_can_be_told_by_the_client_and_nothing_is_tried_again(text):
-    fars = [Far(says(text, close=True)) for _ in range(2)]
+def test_broken_response_is_visible_to_the_client_and_not_retried(text):
+    fars = [Far(responds(text, close=True)) for _ in range(2)]
     agent = Agent(*fars)
-    seen = all_of(agent.connect().send(ask(category=b"read")))
+    seen = read_to_end(agent.connect().send(ask(category=b"read")))
     assert seen.startswith(OK) and len(seen) < len(LONG)
     assert not seen.endswith(b"0\r\n\r\n")
     assert sum(len(far.peers) for far in fars) == 1
-    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
+    assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
 
 
-def test_who_reads_slowly_holds_up_who_sends_and_takes_one_window():
+def test_slow_reader_throttles_the_sender_and_takes_one_buffer():
     sent = [0]
 
     def script(peer):
@@ -219,19 +219,19 @@
     gevent.sleep(0.1)
     assert sent[0] < 15_000_000
     assert agent.answers.used_bytes <= 2 * 64 * 1024
-    client.sock.close()  # gone half-way: so is the backend's connection
-    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
+    client.sock.close()  # disconnects midway: the backend's connection is closed as well
+    assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
 
 
-@pytest.mark.parametrize("who", ["backend", "client"])
-def test_a_relay_in_which_nothing_moves_ends_and_is_counted(who, monkeypatch):
+@pytest.mark.parametrize("stalling_side", ["backend", "client"])
+def test_stalled_relay_is_ended_and_counted(stalling_side, monkeypatch):
     monkeypatch.setattr(relay_module, "STALL_TIMEOUT_S", 0.1)
     monkeypatch.setattr(relay_module, "CROWDED_STALL_TIMEOUT_S", 0.05)
 
     def script(peer):
         peer.hear()
         peer.send(OK + b"Content-Length: 30000000\r\n\r\n" + bytes(100_000))
-        if who == "client":
+        if stalling_side == "client":
             while True:
                 peer.send(bytes(100_000))
         gevent.sleep(60)
@@ -243,8 +243,10 @@
     client.sock.close()
 
 
-def test_a_body_beyond_the_limit_costs_one_attempt_and_bounded_memory():
-    agent = Agent(Far(says(OK + b"Content-Length: 3000000000\r\n\r\n" + bytes(90_000))), longest=2_000_000)
+def test_body_beyond_the_limit_fails_within_bounded_memory():
+    agent = Agent(
+        Far(responds(OK + b"Content-Length: 3000000000\r\n\r\n" + bytes(90_000))), longest=2_000_000
+    )
     assert agent.connect().send(ask()).hear().startswith(b"HTTP/1.1 502 ")
 
     def endless(peer):
@@ -254,28 +256,28 @@
             peer.send(b"2000\r\n" + bytes(8192) + b"\r\n")
 
     agent = Agent(Far(endless), longest=500_000)
-    seen = all_of(agent.connect().send(ask()))
+    seen = read_to_end(agent.connect().send(ask()))
     assert len(seen) < 600_000 and not seen.endswith(b"0\r\n\r\n")
 
 
-def test_a_long_answer_to_a_client_that_has_left_frees_its_connection():
+def test_long_answer_to_a_disconnected_client_frees_its_connection():
     asked = []
 
     def long_answer(peer):
         asked.append(peer.hear())
-        peer.send(served(32 * LONG))  # more than lies in the buffers of a connection
+        peer.send(served(32 * LONG))  # more than fits the buffers of a connection
         gevent.sleep(60)
 
     agent = Agent(Far(long_answer))
     client = agent.connect().send(ask())
-    # Once it is out: for a client that has left before, nothing is sent at all.
+    # Only after the hand-off was sent: nothing is sent for a client that has already disconnected.
     assert until(lambda: asked)
     client.sock.close()
-    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
+    assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
 
 
 class Backend(Far):
-    """Reads whole requests with their bodies, and answers with how long they were."""
+    """Reads complete requests and answers with the lengths of their bodies."""
 
     def __init__(self, answer=None, stop_after=None):
         self.bodies, self.heads, self.answer, self.stop_after = [], [], answer, stop_after
@@ -321,7 +323,7 @@
 
 @pytest.mark.parametrize("form", ["told", "chunked", "told, asked first"])
 @pytest.mark.parametrize("size", [70_000, len(LONG)])
-def test_a_long_request_reaches_its_backend_byte_by_byte(form, size):
+def test_long_request_reaches_the_backend_unchanged(form, size):
     far = Backend()
     agent = Agent(far)
     client = agent.connect()
@@ -332,7 +334,7 @@
             client.send(ask(body, id=id))
         elif form == "chunked":
             head = ask(id=id, more=b"Transfer-Encoding: chunked\r\n", length=False)
-            client.send(head + in_chunks(body, 5_000))
+            client.send(head + encode_chunks(body, 5_000))
         else:
             text = ask(body, id=id, more=b"Expect: 100-continue\r\n")
             client.send(text[:-size])
@@ -340,10 +342,10 @@
             client.send(text[-size:])
         assert client.hear().endswith(b"%d" % size)
     assert far.bodies == [body, body]
-    assert until(lambda: agent.rests)
+    assert until(lambda: agent.is_idle)
 
 
-def test_what_is_pipelined_behind_a_long_request_is_not_lost():
+def test_request_pipelined_after_a_long_one_is_not_lost():
     far = Backend()
     agent = Agent(far)
     client = agent.connect().send(ask(LONG, id=b"r1") + ask(b"two", id=b"r2"))
@@ -353,39 +355,39 @@
     assert until(lambda: far.bodies == [LONG, b"two"])
 
 
-def test_its_time_runs_from_its_last_byte():
+def test_timeout_of_an_upload_starts_at_its_last_byte():
     far = Backend()
     agent = Agent(far)
     text = ask(LONG[:100_000]).replace(b"3000", b"150")
     client = agent.connect().send(text[:60_000])
     gevent.sleep(0.2)  # more than it may wait for the answer
     assert client.send(text[60_000:]).hear().endswith(b"100000")
-    # And the backend hears of that time, not of the slowest upload's.
+    # The backend is told that timeout, without the allowance for uploads.
     assert b"X-Timeout-Ms: 14" in far.heads[0]
 
 
-def test_a_break_before_its_last_byte_has_not_run_and_is_deferred_not_sent_again():
+def test_upload_that_breaks_before_its_last_byte_is_deferred_and_not_resent():
     fars = [Backend(stop_after=200_000) for _ in range(2)]
     agent = Agent(*fars)
     client = agent.connect()
     writer = gevent.spawn(client.send, ask(LONG))
     assert client.hear().startswith(b"HTTP/1.1 503 ")
     writer.join(5)
-    assert writer.successful(), "what it still sent was read, or it would have met a reset"
+    assert writer.successful(), "the rest of the upload was read; otherwise there would have been a reset"
     assert sum(len(far.heads) for far in fars) == 1
-    assert until(lambda: agent.rests)
+    assert until(lambda: agent.is_idle)
 
 
-def test_a_backend_that_turns_it_away_within_has_not_run_it():
+def test_upload_refused_by_the_backend_midway_has_not_run():
     full = served(b"", status=b"503 Full", more=b"X-Not-Processed: 1\r\n")
     agent = Agent(Backend(answer=full, stop_after=200_000))
     client = agent.connect()
     gevent.spawn(client.send, ask(LONG))
     assert client.hear().startswith(b"HTTP/1.1 503 ")
-    assert until(lambda: agent.rests)
+    assert until(lambda: agent.is_idle)
 
 
-def test_a_backend_that_stops_reading_has_not_run_it_and_holds_nobody_for_long(monkeypatch):
+def test_backend_that_stops_reading_an_upload_times_out(monkeypatch):
     monkeypatch.setattr(backend_connection, "STALL_TIMEOUT_S", 0.05)
     reached = []
 
@@ -400,10 +402,10 @@
     assert len(reached) == 1
     writer.kill()
     client.sock.close()
-    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
+    assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
 
 
-def test_where_nothing_of_it_was_asked_for_yet_it_goes_elsewhere():
+def test_upload_goes_elsewhere_while_none_of_it_was_read():
     dead = socket.socket()
     dead.bind(("127.0.0.1", 0))
     far = Backend()
@@ -415,13 +417,15 @@
 
 
 @pytest.mark.parametrize("end", ["closes", "stops", "garbles"])
-def test_a_client_that_never_sends_the_rest_costs_its_backend_nothing(end, monkeypatch):
+def test_incomplete_upload_does_not_count_against_the_backend(end, monkeypatch):
     monkeypatch.setattr(relay_module, "UPLOAD_GRACE_S", 0.05)
     monkeypatch.setattr(relay_module, "MIN_UPLOAD_BYTES_PER_S", 10_000_000)
     far = Backend()
     agent = Agent(far)
     if end == "garbles":
-        text = ask(more=b"Transfer-Encoding: chunked\r\n", length=False) + in_chunks(LONG[:300_000], 5_000)
+        text = ask(more=b"Transfer-Encoding: chunked\r\n", length=False) + encode_chunks(
+            LONG[:300_000], 5_000
+        )
         client = agent.connect().send(text.removesuffix(b"0\r\nX-T: 1\r\n\r\n") + b"zz\r\n\r\n")
         assert client.hear().startswith(b"HTTP/1.1 400 ")
     else:
@@ -430,13 +434,13 @@
             client.sock.close()
         else:
             assert client.hear().startswith(b"HTTP/1.1 408 ")
-    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
+    assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
     assert not far.bodies
     b = agent.router.balancer.state.backends["b0"]
     assert not b.distrust and not b.own
 
 
-def test_slow_uploads_hold_no_memory_but_their_first_bytes_and_a_window():
+def test_slow_uploads_hold_only_their_first_bytes_and_one_buffer():
     far = Backend()
     agent = Agent(far, most=64)
     clients = []
@@ -445,14 +449,14 @@
         assert until(lambda: len(far.heads) == len(clients))
     gevent.sleep(0.02)
     assert agent.requests.used_bytes <= 20 * 100 * 1024
-    # The usual clients go on.
+    # Usual clients are still served.
     assert agent.connect().send(ask(b"hi", id=b"usual")).hear().endswith(b"2")
     for client in clients:
         client.sock.close()
-    assert until(lambda: agent.rests)
+    assert until(lambda: agent.is_idle)
 
 
-def test_a_head_alone_is_asked_for_and_answered_with_one():
+def test_head_requests_get_a_head_only():
     def script(peer):
         while heard := peer.hear():
             assert heard.startswith(b"HEAD ")
@@ -468,8 +472,8 @@
         assert b"Content-Length: 900" in seen
 
 
-def test_hundreds_of_slow_peers_take_no_place_from_the_usual_ones(monkeypatch):
-    # All patience a twentieth of what it is, and as many at once.
+def test_hundreds_of_slow_clients_do_not_block_usual_ones(monkeypatch):
+    # Timeouts a twentieth of the real ones, and as many clients at once.
     monkeypatch.setattr(relay_module, "STALL_TIMEOUT_S", 0.75)
     monkeypatch.setattr(relay_module, "CROWDED_STALL_TIMEOUT_S", 0.1)
     monkeypatch.setattr(listener_module, "SLOW_REQUEST_TENTHS", SECOND // 20)
@@ -491,7 +495,7 @@
                 client.send(ask(LONG, id=b"writer%d" % n)[:70_000])
             case 1:  # reads nothing of a long answer
                 client.send(ask(id=b"reader%d" % n))
-            case 2:  # half a head
+            case 2:  # sends an incomplete head
                 client.send(b"POST /api HTTP/1.1\r\nX-Req")
         slow.append(client)
         if n % 12 == 0:
@@ -505,8 +509,8 @@
         client.sock.close()
 
 
-class Hears(Far):
-    """Keeps the heads that come whole, and answers each with the next text; the last one over and over."""
+class RecordingBackend(Far):
+    """Records complete heads and answers each with the next text, the last text repeatedly."""
 
     def __init__(self, *texts):
         self.texts, self.heard, self.go = list(texts), [], Event()
@@ -524,32 +528,32 @@
 
 @pytest.mark.parametrize("category", [b"read", b"write"])
 @pytest.mark.parametrize("behind", [b"", ask(id=b"r2"), 100_000 * b"x"])
-def test_no_attempt_begins_for_a_client_that_has_left_before_it(category, behind):
-    far = Hears(served())
+def test_no_attempt_begins_for_a_client_that_has_disconnected(category, behind):
+    far = RecordingBackend(served())
     agent = Agent(far)
-    # All of it, and the end, lies in the kernel before the agent's first look.
+    # The request and the close are in the kernel before the agent reads for the first time.
     agent.connect().send(ask(category=category) + behind).sock.close()
-    assert until(lambda: agent.router.submitted and agent.rests)
+    assert until(lambda: agent.router.submitted and agent.is_idle)
     assert not far.heard
 
 
 @pytest.mark.parametrize("behind", [b"", ask(id=b"r2"), 60_000 * b"x"])
-def test_no_further_attempt_begins_for_a_client_that_has_left_meanwhile(behind):
-    backends = Hears(FULL), Hears(FULL)
+def test_no_further_attempt_begins_after_the_client_has_disconnected(behind):
+    backends = RecordingBackend(FULL), RecordingBackend(FULL)
     agent = Agent(*backends)
     client = agent.connect().send(ask())
     assert until(lambda: any(far.heard for far in backends))
-    # What is pipelined stands before the end of the connection and hides it from a look at the next byte.
+    # Pipelined bytes come before the close and hide it from a peek at the next byte.
     client.send(behind)
     gevent.sleep(0)
     client.sock.close()
     for far in backends:
         far.go.set()
-    assert until(lambda: agent.rests)
+    assert until(lambda: agent.is_idle)
     assert sum(len(far.heard) for far in backends) == 1
 
 
-def test_a_client_that_sends_a_long_body_and_leaves_ends_what_is_out_for_it():
+def test_disconnect_during_an_upload_ends_its_exchange():
     begun = []
 
     def swallow(peer):
@@ -561,17 +565,17 @@
     client = agent.connect().send(ask(more=b"Content-Length: 5000000\r\n", length=False) + 200_000 * b"x")
     assert until(lambda: begun)
     client.sock.close()
-    assert until(lambda: agent.rests and not agent.pools.budget.in_use)
+    assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
 
 
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(monkeypatch):
-    backends = [Hears(served(status=b"500 Oops")) for _ in range(2)]
-    agent, up, sound = Agent(*backends), Event(), BackendConnection._connect
+def test_retry_that_connects_after_its_window_is_not_sent(monkeypatch):
+    backends = [RecordingBackend(served(status=b"500 Oops")) for _ in range(2)]
+    agent, up, original = Agent(*backends), Event(), BackendConnection._connect
 
     def late(connection):
         if agent.counters["backend connections opened"]:
             up.wait()
-        sound(connection)
+        original(connection)
 
     monkeypatch.setattr(BackendConnection, "_connect", late)
     client = agent.connect().send(ask(category=b"ticket"))
@@ -579,7 +583,7 @@
     heard = agent.clock.now()
     for far in backends:
         far.go.set()
-    # Decided within the half second in which repeats are dropped; nobody drops them when it could be written.
+    # The retry is decided within the half second in which repeats are deduplicated, but connects after it.
     assert until(lambda: agent.clock.now() > heard + 5000)
     up.set()
     assert client.hear().startswith(b"HTTP/1.1 503 ")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import Drive, answers, hand_offs, settings, until
 from test_program import TOLD, changed
-from test_router import Desk
+from test_router import RouterRig
 
 from nettledeal.configuration import check
 from nettledeal.configuration_change import check_replacement
@@ -188,24 +188,24 @@
 
 
 def test_the_owner_takes_new_names_at_once_and_old_ones_for_a_while():
-    desk = Desk()
-    desk.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
-    desk.router.update_settings(
+    rig = RouterRig()
+    rig.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    rig.router.update_settings(
         named(("add", "rerunnable"), ("read", "exclusive")), {}, {"add": 300, "read": 100}, 50
     )
-    assert desk.router.admission.max_open == 50
-    pending, _ = desk.take("add")
-    desk.out().on_reply(Reply(Outcome.FINISHED, report={}))
-    assert desk.answered(pending) is HTTPStatus.OK
-    pending, id = desk.take("write")
+    assert rig.router.admission.max_open == 50
+    pending, _ = rig.submit("add")
+    rig.nth_exchange().on_reply(Reply(Outcome.FINISHED, report={}))
+    assert rig.status_of(pending) is HTTPStatus.OK
+    pending, id = rig.submit("write")
     assert id and pending.status is None
-    assert 0 < desk.router.admission.retired_until["write"] - desk.clock.now() <= RETIRED_CATEGORY_TENTHS
-    desk.router.admission.retired_until["write"] = desk.clock.now() - 1
-    pending, id = desk.take("write")
+    assert 0 < rig.router.admission.retired_until["write"] - rig.clock.now() <= RETIRED_CATEGORY_TENTHS
+    rig.router.admission.retired_until["write"] = rig.clock.now() - 1
+    pending, id = rig.submit("write")
     assert (pending.status, id) == (HTTPStatus.BAD_REQUEST, None)
-    assert desk.take("read")[1]
+    assert rig.submit("read")[1]
     # Its first word counts, however often the settings change meanwhile.
-    desk.router.update_settings(named(("add", "rerunnable")), {}, {"add": 300}, 50)
-    assert desk.take("write")[0].status is HTTPStatus.BAD_REQUEST
-    desk.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
-    assert desk.take("write")[1] and until(lambda: not desk.router.queued)
+    rig.router.update_settings(named(("add", "rerunnable")), {}, {"add": 300}, 50)
+    assert rig.submit("write")[0].status is HTTPStatus.BAD_REQUEST
+    rig.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    assert rig.submit("write")[1] and until(lambda: not rig.router.queued)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -15,14 +15,14 @@
 from nettledeal.net.transport.pending_answer import PendingAnswer
 from nettledeal.policy.balancer import Balancer
 
-PLACE = ("127.0.0.1", 9)
+ADDRESS = ("127.0.0.1", 9)
 
 
-class Ways:
-    """Pools without sockets: keeps what the router sends, for the test to answer."""
+class FakePools:
+    """Stands in for the pools, without sockets: keeps exchanges for the test to answer."""
 
     def __init__(self):
-        self.pools, self.exchanges, self.sent_to, self.full = {}, [], [], False
+        self.pools, self.exchanges, self.sent_to, self.refuses = {}, [], [], False
 
     def set_address(self, backend, address):
         self.pools[backend] = address
@@ -34,67 +34,67 @@
         return "127.0.0.1:9"
 
     def send(self, backend, exchange):
-        if self.full or backend not in self.pools:
+        if self.refuses or backend not in self.pools:
             return False
         self.exchanges.append(exchange)
         self.sent_to.append(backend)
         return True
 
 
-class Desk:
-    """A router that runs, with two backends and no sockets."""
+class RouterRig:
+    """A running router with two backends and no sockets."""
 
     def __init__(self, most=100, zones=(0, 0), **changes):
-        self.ways, self.counters, self.asked, self.names = Ways(), Counters(), [], 0
+        self.pools, self.counters, self.subscriptions, self.request_count = FakePools(), Counters(), [], 0
         self.clock = Clock()
-        told = settings(allowed__probes=False, **changes)
+        router_settings = settings(allowed__probes=False, **changes)
         self.router = Router(
-            Balancer(1, told, self.clock.now()),
+            Balancer(1, router_settings, self.clock.now()),
             self.clock,
             self.counters,
-            self.ways,
+            self.pools,
             {"read": 0, "write": 1},
             {"firm": 1, "shop": 0},
             {"read": 2 * SECOND, "write": 2 * SECOND},
             most,
             probe_timeout=500,
             request_reports=True,
-            subscribe=lambda: self.asked.append(1),
+            subscribe=lambda: self.subscriptions.append(1),
         )
         listings = [Listing(f"b{n}", zone=zone) for n, zone in enumerate(zones)]
-        self.router.start(CatalogueUpdate(1, True, listings, {f"b{n}": PLACE for n in range(len(zones))}))
+        self.router.start(CatalogueUpdate(1, True, listings, {f"b{n}": ADDRESS for n in range(len(zones))}))
         gevent.spawn(self.router.run)
 
-    def take(self, category="read", wait=2 * SECOND, at=None, name=None):
+    def submit(self, category="read", wait=2 * SECOND, at=None, name=None):
         pending = PendingAnswer()
-        self.names += 1
-        name = name or b"r%d" % self.names
+        self.request_count += 1
+        name = name or b"r%d" % self.request_count
         request = ClientRequest(name, b"GET", b"/api", b"X: 1\r\n", b"", category, wait, False)
         id = self.router.submit(request, at or self.clock.now(), pending)
         return pending, id
 
-    def out(self, count=1):
-        assert until(lambda: len(self.ways.exchanges) >= count)
-        return self.ways.exchanges[count - 1]
+    def nth_exchange(self, n=1):
+        assert until(lambda: len(self.pools.exchanges) >= n)
+        return self.pools.exchanges[n - 1]
 
-    def answered(self, pending):
+    def status_of(self, pending):
         assert until(lambda: pending.status is not None)
         return pending.status
 
 
-def test_a_work_item_goes_out_and_its_answer_comes_back_unchanged():
-    desk = Desk()
-    pending, _ = desk.take()
-    desk.out().on_reply(Reply(Outcome.FINISHED, b"the body", b"Content-Type: text/plain\r\n", {}))
-    assert desk.answered(pending) is HTTPStatus.OK
+def test_answer_is_returned_unchanged():
+    rig = RouterRig()
+    pending, _ = rig.submit()
+    rig.nth_exchange().on_reply(Reply(Outcome.FINISHED, b"the body", b"Content-Type: text/plain\r\n", {}))
+    assert rig.status_of(pending) is HTTPStatus.OK
     assert (pending.body, pending.headers) == (b"the body", b"Content-Type: text/plain\r\n")
-    assert not desk.router.busy
+    assert not rig.router.busy
 
 
 @pytest.mark.parametrize(
     ("category", "outcome", "status"),
     [
-        # Rerunnable ones go out again; exclusive ones only when the first never ran.
+        # Rerunnable ones are retried; exclusive ones only if the first attempt never ran.
         ("read", Outcome.RESET, None),
         ("read", Outcome.ERROR, None),
         ("write", Outcome.UNREACHABLE, None),
@@ -102,275 +102,275 @@
         ("write", Outcome.RESET, HTTPStatus.BAD_GATEWAY),
         ("write", Outcome.ERROR, HTTPStatus.BAD_GATEWAY),
         ("write", Outcome.OVERDUE, HTTPStatus.BAD_GATEWAY),
-        # Rights that nothing tells are the strictest.
+        # Without a category the strictest rules apply.
         ("", Outcome.RESET, HTTPStatus.BAD_GATEWAY),
         ("", Outcome.UNREACHABLE, None),
     ],
 )
-def test_what_follows_an_outcome(category, outcome, status):
-    desk = Desk()
-    pending, _ = desk.take(category)
-    desk.out().on_reply(Reply(outcome))
+def test_retry_or_failure_after_each_outcome(category, outcome, status):
+    rig = RouterRig()
+    pending, _ = rig.submit(category)
+    rig.nth_exchange().on_reply(Reply(outcome))
     if status is None:
-        assert desk.out(2)
-        assert desk.ways.sent_to[0] != desk.ways.sent_to[1]
+        assert rig.nth_exchange(2)
+        assert rig.pools.sent_to[0] != rig.pools.sent_to[1]
         assert pending.status is None
     else:
-        assert desk.answered(pending) is status
-        assert len(desk.ways.exchanges) == 1
+        assert rig.status_of(pending) is status
+        assert len(rig.pools.exchanges) == 1
 
 
 @pytest.mark.parametrize(("name", "number"), [("firm", 1), ("1", 1), ("", 0), ("stranger", -1)])
 def test_customers_are_known_by_name_or_number(name, number, monkeypatch):
-    desk, seen = Desk(), []
-    sound = desk.router.balancer.take
+    rig, seen = RouterRig(), []
+    original = rig.router.balancer.take
     monkeypatch.setattr(
-        desk.router.balancer, "take", lambda *a, **f: (seen.append(f["customer"]), sound(*a, **f))[1]
+        rig.router.balancer, "take", lambda *a, **f: (seen.append(f["customer"]), original(*a, **f))[1]
     )
     request = ClientRequest(b"r", b"GET", b"/", b"", b"", "read", None, False, customer=name)
-    desk.router.submit(request, desk.clock.now(), PendingAnswer())
+    rig.router.submit(request, rig.clock.now(), PendingAnswer())
     assert until(lambda: seen == [number])
 
 
-def test_nothing_is_out_any_more_once_the_client_has_left():
-    desk = Desk(allowed__cancelling=False)
-    pending, id = desk.take()
-    exchange = desk.out()
-    desk.router.client_left(id)
-    # Also where recalls are not allowed: what is still unsent must not be sent for nobody.
+def test_exchanges_are_cancelled_when_the_client_disconnects():
+    rig = RouterRig(allowed__cancelling=False)
+    pending, id = rig.submit()
+    exchange = rig.nth_exchange()
+    rig.router.client_left(id)
+    # Also if recalls are not allowed: an exchange that is still unsent must not be sent for nobody.
     assert until(lambda: exchange.cancelled)
     exchange.on_reply(Reply(Outcome.RESET))
     gevent.sleep(0.01)
-    assert len(desk.ways.exchanges) == 1
-    assert not desk.router.busy
+    assert len(rig.pools.exchanges) == 1
+    assert not rig.router.busy
 
 
-def test_nothing_is_sent_again_while_the_word_of_a_client_leaving_is_in_the_queue():
-    desk = Desk()
-    pending, id = desk.take()
-    exchange = desk.out()
+def test_no_retry_while_a_disconnect_is_queued():
+    rig = RouterRig()
+    pending, id = rig.submit()
+    exchange = rig.nth_exchange()
     exchange.on_reply(Reply(Outcome.RESET))
     pending.put(HTTPStatus.BAD_GATEWAY)
-    desk.router.client_left(id)
-    assert until(lambda: not desk.router.busy)
-    assert len(desk.ways.exchanges) == 1
+    rig.router.client_left(id)
+    assert until(lambda: not rig.router.busy)
+    assert len(rig.pools.exchanges) == 1
 
 
-def test_without_a_connection_to_be_had_the_work_item_is_deferred_at_once():
-    desk = Desk()
-    desk.ways.full = True
-    pending, _ = desk.take("write")
-    assert desk.answered(pending) is HTTPStatus.SERVICE_UNAVAILABLE
+def test_work_item_is_deferred_if_no_connection_is_available():
+    rig = RouterRig()
+    rig.pools.refuses = True
+    pending, _ = rig.submit("write")
+    assert rig.status_of(pending) is HTTPStatus.SERVICE_UNAVAILABLE
 
 
-def test_what_is_over_the_told_number_is_deferred_at_the_door():
-    desk = Desk(most=2)
-    held = [desk.take()[0] for _ in range(2)]
-    pending, id = desk.take()
+def test_requests_over_max_open_are_deferred():
+    rig = RouterRig(most=2)
+    open_ones = [rig.submit()[0] for _ in range(2)]
+    pending, id = rig.submit()
     assert (pending.status, id) == (HTTPStatus.SERVICE_UNAVAILABLE, None)
-    assert [other.status for other in held] == [None, None]
+    assert [other.status for other in open_ones] == [None, None]
 
 
 @pytest.mark.parametrize("call", ["take", "returned"])
-def test_a_fault_costs_one_work_item_and_no_more(call, monkeypatch):
-    desk = Desk()
-    sound = getattr(desk.router.balancer, call)
+def test_exception_in_the_balancer_fails_one_work_item_only(call, monkeypatch):
+    rig = RouterRig()
+    original = getattr(rig.router.balancer, call)
 
     def faulty(*arguments, **fields):
-        monkeypatch.setattr(desk.router.balancer, call, sound)
+        monkeypatch.setattr(rig.router.balancer, call, original)
         raise ZeroDivisionError
 
-    monkeypatch.setattr(desk.router.balancer, call, faulty)
-    pending, _ = desk.take()
+    monkeypatch.setattr(rig.router.balancer, call, faulty)
+    pending, _ = rig.submit()
     if call == "returned":
-        desk.out().on_reply(Reply(Outcome.RESET))
-    # Nobody knows what has run, so it is no deferral.
-    assert desk.answered(pending) is HTTPStatus.BAD_GATEWAY
-    sent = len(desk.ways.exchanges)
-    other, _ = desk.take()
-    desk.out(sent + 1).on_reply(Reply(Outcome.FINISHED, report={}))
-    assert desk.answered(other) is HTTPStatus.OK
-    assert desk.counters["faults"] == 1
+        rig.nth_exchange().on_reply(Reply(Outcome.RESET))
+    # It is unknown whether it ran, so this is no deferral.
+    assert rig.status_of(pending) is HTTPStatus.BAD_GATEWAY
+    sent = len(rig.pools.exchanges)
+    other, _ = rig.submit()
+    rig.nth_exchange(sent + 1).on_reply(Reply(Outcome.FINISHED, report={}))
+    assert rig.status_of(other) is HTTPStatus.OK
+    assert rig.counters["faults"] == 1
 
 
-def test_an_act_that_fails_costs_no_other_work_item(monkeypatch):
-    desk = Desk()
-    sound = desk.ways.send
+def test_failed_act_does_not_affect_other_work_items(monkeypatch):
+    rig = RouterRig()
+    original = rig.pools.send
 
     def faulty(backend, exchange):
-        monkeypatch.setattr(desk.ways, "send", sound)
+        monkeypatch.setattr(rig.pools, "send", original)
         raise ZeroDivisionError
 
-    monkeypatch.setattr(desk.ways, "send", faulty)
-    pending, _ = desk.take("write")
-    # It was never sent, so even an exclusive one may go out again.
-    desk.out().on_reply(Reply(Outcome.FINISHED))
-    assert desk.answered(pending) is HTTPStatus.OK
+    monkeypatch.setattr(rig.pools, "send", faulty)
+    pending, _ = rig.submit("write")
+    # It was never sent, so even an exclusive one may be retried.
+    rig.nth_exchange().on_reply(Reply(Outcome.FINISHED))
+    assert rig.status_of(pending) is HTTPStatus.OK
 
 
-def test_a_wake_that_is_due_is_not_kept_waiting_by_a_full_queue():
-    desk = Desk()
+def test_due_timer_runs_before_queued_events():
+    rig = RouterRig()
     order = []
-    desk.router._on_wake = lambda: (order.append("wake"), setattr(desk.router, "wake_at", None))
+    rig.router._on_wake = lambda: (order.append("wake"), setattr(rig.router, "wake_at", None))
     for _ in range(3):
-        desk.router.queue.put((lambda: order.append("event"), ()))
-    desk.router.wake_at = desk.clock.now()
+        rig.router.queue.put((lambda: order.append("event"), ()))
+    rig.router.wake_at = rig.clock.now()
     assert until(lambda: len(order) == 4)
     assert order[0] == "wake"
 
 
-def test_an_answers_time_is_that_of_its_connection_not_of_the_queue(monkeypatch):
-    desk = Desk()
-    told = []
-    sound = desk.router.balancer.returned
+def test_reported_duration_excludes_time_in_the_queue(monkeypatch):
+    rig = RouterRig()
+    durations = []
+    original = rig.router.balancer.returned
 
     def returned(now, id, number, outcome, duration, **fields):
-        told.append(duration)
-        return sound(now, id, number, outcome, duration, **fields)
+        durations.append(duration)
+        return original(now, id, number, outcome, duration, **fields)
 
-    monkeypatch.setattr(desk.router.balancer, "returned", returned)
-    pending, _ = desk.take()
-    exchange = desk.out()
-    gevent.sleep(0.01)  # longer than it took, by its own account
+    monkeypatch.setattr(rig.router.balancer, "returned", returned)
+    pending, _ = rig.submit()
+    exchange = rig.nth_exchange()
+    gevent.sleep(0.01)  # longer than the duration that the reply reports
     exchange.on_reply(Reply(Outcome.FINISHED, duration=7))
-    desk.answered(pending)
-    assert until(lambda: told == [7])
+    rig.status_of(pending)
+    assert until(lambda: durations == [7])
 
 
-def test_the_clients_own_ids_may_repeat():
-    desk = Desk()
-    answers = [desk.take()[0] for _ in range(2)]
+def test_concurrent_requests_get_their_own_answers():
+    rig = RouterRig()
+    answers = [rig.submit()[0] for _ in range(2)]
     for n, body in enumerate((b"one", b"two")):
-        desk.out(n + 1).on_reply(Reply(Outcome.FINISHED, body))
+        rig.nth_exchange(n + 1).on_reply(Reply(Outcome.FINISHED, body))
     assert until(lambda: all(pending.status for pending in answers))
     assert [pending.body for pending in answers] == [b"one", b"two"]
 
 
-def test_expiry_counts_from_the_reading_and_leaves_room_for_the_way():
-    desk = Desk()
-    at = desk.clock.now()
-    pending, _ = desk.take(wait=1_000, at=at)
-    assert desk.out().deadline <= at + 1_000 - TRANSIT_MARGIN_TENTHS
+def test_expiry_counts_from_reading_and_leaves_a_transit_margin():
+    rig = RouterRig()
+    at = rig.clock.now()
+    pending, _ = rig.submit(wait=1_000, at=at)
+    assert rig.nth_exchange().deadline <= at + 1_000 - TRANSIT_MARGIN_TENTHS
     assert pending.deadline == at + 1_000
 
 
 @pytest.mark.parametrize(("lag", "room"), [(10, 0), (200, 200)])
-def test_a_loop_that_runs_late_gives_up_sooner(lag, room):
-    desk = Desk()
-    desk.router.lag = lag
-    at = desk.clock.now()
-    desk.take(wait=5_000, at=at)
-    left = at + 5_000 - TRANSIT_MARGIN_TENTHS - desk.out().deadline
-    # A little lag must not blur by how long a client waits first tries are told from repeats.
+def test_event_loop_lag_shortens_the_deadline(lag, room):
+    rig = RouterRig()
+    rig.router.lag = lag
+    at = rig.clock.now()
+    rig.submit(wait=5_000, at=at)
+    left = at + 5_000 - TRANSIT_MARGIN_TENTHS - rig.nth_exchange().deadline
+    # A small lag isn't corrected: first tries are told from repeats by how long the client waits.
     assert room <= left < room + 100
 
 
-def test_no_timeout_from_the_client_means_that_of_its_category():
-    desk = Desk()
-    pending, _ = desk.take(wait=None, at=5)
+def test_default_timeout_is_that_of_the_category():
+    rig = RouterRig()
+    pending, _ = rig.submit(wait=None, at=5)
     assert pending.deadline == 5 + 2 * SECOND
 
 
 @pytest.mark.parametrize("life", [Life.DRAINING, Life.GONE])
-def test_backends_that_want_nothing_new_lose_their_pools(life):
-    desk = Desk()
-    desk.router.update_catalogue(CatalogueUpdate(2, False, [Listing("b0", life=life)], {"b0": PLACE}))
-    assert until(lambda: set(desk.ways.pools) == {"b1"})
+def test_draining_and_gone_backends_lose_their_pools(life):
+    rig = RouterRig()
+    rig.router.update_catalogue(CatalogueUpdate(2, False, [Listing("b0", life=life)], {"b0": ADDRESS}))
+    assert until(lambda: set(rig.pools.pools) == {"b1"})
     for _ in range(2):
-        desk.take()
-    assert desk.out(2)
-    assert set(desk.ways.sent_to) == {"b1"}
+        rig.submit()
+    assert rig.nth_exchange(2)
+    assert set(rig.pools.sent_to) == {"b1"}
 
 
-def test_a_whole_list_drops_what_it_does_not_name():
-    desk = Desk()
-    desk.router.update_catalogue(CatalogueUpdate(2, True, [Listing("b1")], {"b1": PLACE}))
-    assert until(lambda: set(desk.ways.pools) == {"b1"})
+def test_full_list_removes_backends_that_it_does_not_name():
+    rig = RouterRig()
+    rig.router.update_catalogue(CatalogueUpdate(2, True, [Listing("b1")], {"b1": ADDRESS}))
+    assert until(lambda: set(rig.pools.pools) == {"b1"})
 
 
-def test_a_lost_list_is_told_and_asked_for_again():
-    desk = Desk(rules__ask_within=160)
-    desk.router.discovery_lost()
-    assert until(lambda: desk.asked)
+def test_balancer_subscribes_again_after_discovery_is_lost():
+    rig = RouterRig(rules__ask_within=160)
+    rig.router.discovery_lost()
+    assert until(lambda: rig.subscriptions)
 
 
-def test_what_must_hold_is_asserted_here_and_counted_in_release():
+def test_invariants_are_asserted_in_debug_runs():
     with pytest.raises(AssertionError):
         Counters().check_invariant(False, "never")
 
 
-def test_the_name_of_an_open_work_item_is_not_taken_twice():
-    desk = Desk()
-    pending, _ = desk.take(name=b"r")
-    desk.out()
-    # To a backend both would be the same; a deferral would promise that neither runs.
-    twin, id = desk.take(name=b"r")
+def test_request_id_of_an_open_request_is_rejected():
+    rig = RouterRig()
+    pending, _ = rig.submit(name=b"r")
+    rig.nth_exchange()
+    # A backend couldn't tell them apart; a deferral would promise that neither runs.
+    twin, id = rig.submit(name=b"r")
     assert (id, twin.status, pending.status) == (None, HTTPStatus.CONFLICT, None)
-    desk.out().on_reply(Reply(Outcome.FINISHED, b""))
-    assert desk.answered(pending) is HTTPStatus.OK
-    again, _ = desk.take(name=b"r")
-    desk.out(2).on_reply(Reply(Outcome.FINISHED, b""))
-    assert desk.answered(again) is HTTPStatus.OK
+    rig.nth_exchange().on_reply(Reply(Outcome.FINISHED, b""))
+    assert rig.status_of(pending) is HTTPStatus.OK
+    again, _ = rig.submit(name=b"r")
+    rig.nth_exchange(2).on_reply(Reply(Outcome.FINISHED, b""))
+    assert rig.status_of(again) is HTTPStatus.OK
 
 
-def test_a_category_that_no_setting_names_is_turned_away_at_the_door():
-    desk = Desk()
-    pending, id = desk.take(category="nonsense")
+def test_unknown_category_is_rejected():
+    rig = RouterRig()
+    pending, id = rig.submit(category="nonsense")
     assert (id, pending.status) == (None, HTTPStatus.BAD_REQUEST)
     gevent.sleep(0.01)
-    assert not desk.ways.exchanges
+    assert not rig.pools.exchanges
 
 
-def test_an_operators_order_comes_before_all_that_waits_and_takes_its_connections_away(monkeypatch):
-    desk = Desk()
+def test_cordon_runs_before_queued_events_and_removes_the_pool(monkeypatch):
+    rig = RouterRig()
     order = []
-    sound = desk.router.balancer.cordon
-    monkeypatch.setattr(desk.router.balancer, "cordon", lambda *a: (order.append("cordon"), sound(*a))[1])
+    original = rig.router.balancer.cordon
+    monkeypatch.setattr(rig.router.balancer, "cordon", lambda *a: (order.append("cordon"), original(*a))[1])
 
     def busy():
         order.append("event")
 
-    # The router is not asked again between events while there are any.
+    # The command must not wait until the queue is empty.
     for _ in range(3):
-        desk.router.queue.put((busy, ()))
-    desk.router.queue.put((lambda: order.append("last"), ()))
-    assert desk.router.cordon("b0")
-    assert sorted(desk.ways.pools) == ["b1"]
+        rig.router.queue.put((busy, ()))
+    rig.router.queue.put((lambda: order.append("last"), ()))
+    assert rig.router.cordon("b0")
+    assert sorted(rig.pools.pools) == ["b1"]
     assert order[0] == "cordon" and until(lambda: len(order) == 5)
-    # The list names it as running, at another place; it stays out, and that place is its own once back.
+    # The list names it as running at another address: it stays cordoned and is reached there afterwards.
     moved = CatalogueUpdate(2, False, [Listing("b0", zone=0)], {"b0": ("127.0.0.1", 10)})
-    desk.router.update_catalogue(moved)
+    rig.router.update_catalogue(moved)
     gevent.sleep(0.01)
-    assert sorted(desk.ways.pools) == ["b1"]
-    assert desk.router.uncordon("b0")
-    assert desk.ways.pools["b0"] == ("127.0.0.1", 10)
-    assert not desk.router.cordon("b9") and not desk.router.uncordon("b9")
+    assert sorted(rig.pools.pools) == ["b1"]
+    assert rig.router.uncordon("b0")
+    assert rig.pools.pools["b0"] == ("127.0.0.1", 10)
+    assert not rig.router.cordon("b9") and not rig.router.uncordon("b9")
 
 
-def test_an_order_nobody_waits_for_any_more_is_not_carried_out(monkeypatch):
-    desk = Desk()
-    monkeypatch.setattr(desk.router, "_run_commands", lambda: None)  # too busy
+def test_abandoned_command_is_not_carried_out(monkeypatch):
+    rig = RouterRig()
+    monkeypatch.setattr(rig.router, "_run_commands", lambda: None)  # too busy
     with pytest.raises(gevent.Timeout), gevent.Timeout(0.01):
-        desk.router.cordon("b0")
-    assert not desk.router.commands
+        rig.router.cordon("b0")
+    assert not rig.router.commands
 
 
-def test_a_hand_off_decided_but_not_written_goes_elsewhere_when_its_backend_is_taken_out():
-    desk = Desk()
-    pending, _ = desk.take("write")
-    first = desk.out()
-    went = desk.ways.sent_to[0]
-    assert desk.router.cordon(went)
-    # What its pool does with an exchange not yet written.
+def test_unwritten_hand_off_to_a_cordoned_backend_goes_elsewhere():
+    rig = RouterRig()
+    pending, _ = rig.submit("write")
+    first = rig.nth_exchange()
+    went = rig.pools.sent_to[0]
+    assert rig.router.cordon(went)
+    # As its pool does with an exchange that isn't written yet.
     first.on_reply(Reply(Outcome.UNSENT))
-    desk.out(2).on_reply(Reply(Outcome.FINISHED, report={}))
-    assert desk.ways.sent_to[1] != went
-    assert desk.answered(pending) is HTTPStatus.OK
+    rig.nth_exchange(2).on_reply(Reply(Outcome.FINISHED, report={}))
+    assert rig.pools.sent_to[1] != went
+    assert rig.status_of(pending) is HTTPStatus.OK
 
 
 @pytest.mark.parametrize("category", ["read", "write"])
-def test_all_taken_out_work_is_deferred_at_once(category):
-    desk = Desk()
-    assert desk.router.cordon("b0") and desk.router.cordon("b1")
-    pending, _ = desk.take(category)
-    assert desk.answered(pending) is HTTPStatus.SERVICE_UNAVAILABLE
+def test_work_is_deferred_if_all_backends_are_cordoned(category):
+    rig = RouterRig()
+    assert rig.router.cordon("b0") and rig.router.cordon("b1")
+    pending, _ = rig.submit(category)
+    assert rig.status_of(pending) is HTTPStatus.SERVICE_UNAVAILABLE
