--- a/src/nettledeal/net/transport/backend_connection.py
+++ b/src/nettledeal/net/transport/backend_connection.py
@@ -51,7 +51,7 @@
 class BackendConnectionOwner(Protocol):
     """The pool that a connection belongs to: all connections to one backend."""
 
-    pools: SharedLimits
+    shared: SharedLimits
     address: Address
     clock: Clock
     counters: Counters
@@ -76,7 +76,7 @@
         self.pool = pool
         self.sock: socket.socket | None = None
         self.exchange: Exchange | None = None
-        self.read_buffer = ReadBuffer(pool.pools.memory, MAX_BUFFERED_BYTES)
+        self.read_buffer = ReadBuffer(pool.shared.memory, MAX_BUFFERED_BYTES)
         self.wake_event = Event()
         self.aborted = False
         self.idle_since: Time = 0
@@ -140,12 +140,12 @@
         """Wait until the client's connection has pulled the rest. Returns whether this one is reusable."""
         relay = self.relay
         try:
-            return relay.wait(self.pool.pools.crowded) and not self.pool.closed and not self.aborted
+            return relay.wait(self.pool.shared.crowded) and not self.pool.closed and not self.aborted
         finally:
             self.relay = None
 
     def _perform(self, exchange: Exchange) -> tuple[Reply, bool]:
-        answer = ResponseReader(self.pool.pools.max_body_bytes, exchange.bodiless)
+        answer = ResponseReader(self.pool.shared.max_body_bytes, exchange.bodiless)
         timer = gevent.Timeout(max(0, exchange.deadline - self.pool.clock.now()) / SECOND)
         try:
             # Don't reuse a connection that has ended meanwhile: it would be unknown whether the request ran.
@@ -234,7 +234,7 @@
                 self.sock,
                 message.body_reader,
                 message.body_pieces,
-                pool.pools.memory,
+                pool.shared.memory,
                 pool.counters,
                 answer.keep_alive,
             )
@@ -296,13 +296,13 @@
         pool = self.pool
         began_at = pool.clock.now()
         self.sock = new_socket(pool.address)
-        self.sock.settimeout(pool.pools.current_connect_timeout / SECOND)
+        self.sock.settimeout(pool.shared.current_connect_timeout / SECOND)
         try:
             self.sock.connect(pool.address)
         except TimeoutError:
-            pool.pools.record_connect(None)
+            pool.shared.record_connect(None)
             raise
-        pool.pools.record_connect(max(1, pool.clock.arrival_time() - began_at))
+        pool.shared.record_connect(max(1, pool.clock.arrival_time() - began_at))
         self.sock.settimeout(None)
         disable_nagle(self.sock)
         pool.counters["backend connections opened"] += 1
--- a/src/nettledeal/net/transport/backend_pools.py
+++ b/src/nettledeal/net/transport/backend_pools.py
@@ -26,12 +26,12 @@
 class BackendPool:
     """The connections to one backend at one address. The most recently used one is reused first."""
 
-    def __init__(self, pools: BackendPools, address: Address):
-        self.pools = pools
+    def __init__(self, shared: BackendPools, address: Address):
+        self.shared = shared
         self.address = address
-        self.clock = pools.clock
-        self.counters = pools.counters
-        self.max_idle = pools.max_idle
+        self.clock = shared.clock
+        self.counters = shared.counters
+        self.max_idle = shared.max_idle
         self.idle: list[BackendConnection] = []
         self.connections: dict[BackendConnection, None] = {}
         self.closed = False
@@ -45,11 +45,11 @@
             return True
         # A probe must not evict an idle connection of another backend: with few sockets, connections would be
         # opened over and over.
-        if self.pools.budget.is_full if exchange.is_probe else not self.pools.make_room():
+        if self.shared.budget.is_full if exchange.is_probe else not self.shared.make_room():
             return False
         connection = BackendConnection(self)
         self.connections[connection] = None
-        self.pools.budget.acquire()
+        self.shared.budget.acquire()
         connection.assign(exchange)
         connection.wake_event.clear()
         gevent.spawn(connection.run)
@@ -66,17 +66,17 @@
     def release(self, connection: BackendConnection) -> None:
         connection.idle_since = self.clock.now()
         self.idle.append(connection)
-        self.pools.idle[connection] = None
+        self.shared.idle[connection] = None
 
     def claim(self, connection: BackendConnection) -> None:
         if connection.exchange is None and connection in self.idle:
             self.idle.remove(connection)
-            self.pools.idle.pop(connection, None)
+            self.shared.idle.pop(connection, None)
 
     def connection_closed(self, connection: BackendConnection) -> None:
         self.claim(connection)
         del self.connections[connection]
-        self.pools.budget.release()
+        self.shared.budget.release()
 
     def close(self) -> None:
         """The backend is gone, has moved or is draining: close idle connections now, busy ones when done."""
--- a/tests/system/test_dataplane_client_leaves.py
+++ b/tests/system/test_dataplane_client_leaves.py
@@ -201,14 +201,14 @@
         assert rig.backends[0].seen == []
 
 
-@pytest.mark.parametrize("planted", ["watch", "hung_up"])
+@pytest.mark.parametrize("planted", ["watch", "peer_closed"])
 def test_an_agent_that_looks_for_ends_only_in_front_of_what_is_unread_is_caught(monkeypatch, planted):
     if planted == "watch":
         monkeypatch.setattr(PeerCloseWatcher, "watch", lambda *_: None)
         with pytest.raises(AssertionError):
             test_a_client_that_leaves_is_noticed(STATES["the head of its answer"], 1, "end")
     else:
-        monkeypatch.setattr("nettledeal.dataplane.ingress.hung_up", lambda sock: False)
+        monkeypatch.setattr("nettledeal.dataplane.ingress.peer_closed", lambda sock: False)
         with pytest.raises(AssertionError):
             test_a_client_that_leaves_while_the_process_gets_ready_is_not_served()
 
