--- a/src/nettledeal/net/clock.py
+++ b/src/nettledeal/net/clock.py
@@ -7,7 +7,7 @@
 from gevent import get_hub
 
 from nettledeal.model import Time
-from nettledeal.units import up
+from nettledeal.units import round_up
 
 SECOND = 10_000  # in Time units (tenths of a millisecond)
 # If the event loop waited no longer than this in a pass, it only polled and didn't wait for an event.
@@ -22,7 +22,7 @@
         self.loop_watchers: tuple = ()
 
     def now(self) -> Time:
-        return up(time.monotonic_ns() + self.unix_offset_ns)
+        return round_up(time.monotonic_ns() + self.unix_offset_ns)
 
     def arrival_time(self) -> Time:
         """When the event that is being handled arrived.
@@ -31,7 +31,7 @@
         found at its next poll; taking the time of that poll would let a busy agent count its own delay as the
         backends' and underestimate the age of requests.
         """
-        return up((self.arrival_ns or time.monotonic_ns()) + self.unix_offset_ns)
+        return round_up((self.arrival_ns or time.monotonic_ns()) + self.unix_offset_ns)
 
     def track_loop(self) -> None:
         """Start recording when the event loop waits and polls."""
--- a/src/nettledeal/net/protocol/backend.py
+++ b/src/nettledeal/net/protocol/backend.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from nettledeal.model import Outcome, Report, Time
+from nettledeal.model import LoadReport, Outcome, Time
 from nettledeal.net.protocol.bodies import BodyUntilClose, encode_chunk
 from nettledeal.net.protocol.client import ClientRequest
 from nettledeal.net.protocol.framing import (
@@ -34,7 +34,7 @@
     outcome: Outcome
     body: memoryview | bytes = b""
     headers: bytes = b""  # header lines to forward to the client
-    report: Report | None = None
+    report: LoadReport | None = None
     duration: Time = 0
     body_stream: BodyStream | None = None  # a long body, read while it arrives
 
--- a/src/nettledeal/net/protocol/catalogue.py
+++ b/src/nettledeal/net/protocol/catalogue.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from nettledeal.model import Life, Listing
+from nettledeal.model import Lifecycle, Listing
 from nettledeal.net.address import Address, parse_address
 
-_LIFECYCLES = {"ready": Life.RUNNING, "draining": Life.DRAINING, "gone": Life.GONE}
+_LIFECYCLES = {"ready": Lifecycle.RUNNING, "draining": Lifecycle.DRAINING, "gone": Lifecycle.GONE}
 
 
 class MalformedCatalogue(ValueError):
@@ -75,20 +75,20 @@
         return update
 
     def _add(self, update: CatalogueUpdate, entry: _Entry) -> None:
-        life = _LIFECYCLES.get(entry.lifecycle)
-        if life is not Life.GONE:
+        lifecycle = _LIFECYCLES.get(entry.lifecycle)
+        if lifecycle is not Lifecycle.GONE:
             update.addresses[entry.instance_id] = parse_address(entry.host_port)
-        update.listings.append(self._listing(entry, life))
+        update.listings.append(self._listing(entry, lifecycle))
 
-    def _listing(self, entry: _Entry, life: Life | None) -> Listing:
+    def _listing(self, entry: _Entry, lifecycle: Lifecycle | None) -> Listing:
         return Listing(
             backend=entry.instance_id,
             # An unknown lifecycle: send it nothing new.
-            life=life or Life.DRAINING,
+            lifecycle=lifecycle or Lifecycle.DRAINING,
             # -1: not in the settings, so never the own zone.
             zone=self.zones.get(entry.zone, -1),
-            kind=self.kinds.get(entry.machine_type, -1),
+            machine_type=self.kinds.get(entry.machine_type, -1),
             cell=entry.cell,
-            size=entry.weight if isfinite(entry.weight) and entry.weight > 0 else 1.0,
-            started=max(0, entry.started_at_ms) * 10,
+            weight=entry.weight if isfinite(entry.weight) and entry.weight > 0 else 1.0,
+            started_at=max(0, entry.started_at_ms) * 10,
         )
--- a/src/nettledeal/net/protocol/client.py
+++ b/src/nettledeal/net/protocol/client.py
@@ -10,7 +10,7 @@
 
 from nettledeal.model import Time
 from nettledeal.net.protocol.framing import MAX_BUFFERED_BODY_BYTES, MalformedMessage, Message, MessageReader
-from nettledeal.units import TENTH
+from nettledeal.units import NS_PER_TENTH
 
 READINESS_PATH = b"/_health"
 # Not forwarded: their responses follow framing rules of their own.
@@ -157,7 +157,7 @@
     elif chunked:
         head += "Transfer-Encoding: chunked\r\n"
     if retry_after > 0:
-        seconds = f"{retry_after * TENTH / 1e9:.4f}".rstrip("0").rstrip(".")
+        seconds = f"{retry_after * NS_PER_TENTH / 1e9:.4f}".rstrip("0").rstrip(".")
         head += f"Retry-After: {seconds}\r\n"
     if not keep_alive:
         head += "Connection: close\r\n"
--- a/src/nettledeal/net/protocol/load_report.py
+++ b/src/nettledeal/net/protocol/load_report.py
@@ -4,14 +4,14 @@
 
 from math import isfinite
 
-from nettledeal.model import Report
+from nettledeal.model import LoadReport
 
 # Names in the settings, by the name that backends use, where they differ.
 _SETTINGS_NAMES = {"inflight": "outstanding", "queue": "backlog", "util": "utilization"}
 _MAX_REPORT_BYTES = 1024
 
 
-def parse_load_report(text: bytes | memoryview | None) -> Report:
+def parse_load_report(text: bytes | memoryview | None) -> LoadReport:
     """The valid fields of a report; anything that is not a finite, non-negative number is left out."""
     values: dict[str, float] = {}
     if text is None or len(text) > _MAX_REPORT_BYTES:
--- a/src/nettledeal/net/routing/actions.py
+++ b/src/nettledeal/net/routing/actions.py
@@ -7,7 +7,17 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from nettledeal.model import Act, Answer, Enquiry, HandOff, Outcome, Probe, Recall, Time, Verdict
+from nettledeal.model import (
+    Action,
+    Answer,
+    CancelAttempt,
+    Outcome,
+    Probe,
+    SendAttempt,
+    SubscribeToList,
+    Time,
+    Verdict,
+)
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.protocol import backend as backend_protocol
@@ -65,71 +75,75 @@
         self.subscribe = subscribe
         self.open_requests: dict[int, OpenRequest] = {}
 
-    def carry_out(self, acts: Iterable[Act], decided_at: Time) -> None:
+    def carry_out(self, actions: Iterable[Action], decided_at: Time) -> None:
         """Carry out `acts` in order. `decided_at` is the time that the balancer used for the decision."""
-        for act in acts:
+        for action in actions:
             try:
-                self._execute(act, decided_at)
+                self._execute(action, decided_at)
             except Exception:
                 # The remaining acts concern other work items, so go on with them.
-                self.counters.record_exception(type(act).__name__)
-                if isinstance(act, HandOff):
-                    self.events.hand_off_ended(act.work_item, act.number, Reply(Outcome.UNSENT))
-
-    def _execute(self, act: Act, decided_at: Time) -> None:
-        match act:
-            case HandOff():
-                self._send_hand_off(act, decided_at)
+                self.counters.record_exception(type(action).__name__)
+                if isinstance(action, SendAttempt):
+                    self.events.hand_off_ended(action.work_item, action.number, Reply(Outcome.UNSENT))
+
+    def _execute(self, action: Action, decided_at: Time) -> None:
+        match action:
+            case SendAttempt():
+                self._send_hand_off(action, decided_at)
             case Answer(id, verdict, retry_after):
                 self._send_answer(id, verdict, retry_after)
-            case Recall(id, number):
+            case CancelAttempt(id, number):
                 open_request = self.open_requests.get(id)
                 if open_request is not None and number in open_request.exchanges:
                     open_request.exchanges[number].cancel()
             case Probe(backend):
                 self._send_probe(str(backend))
-            case Enquiry():
+            case SubscribeToList():
                 self.subscribe()
 
-    def _send_hand_off(self, act: HandOff, decided_at: Time) -> None:
-        open_request = self.open_requests.get(act.work_item)
+    def _send_hand_off(self, action: SendAttempt, decided_at: Time) -> None:
+        open_request = self.open_requests.get(action.work_item)
         self.counters.check_invariant(
             open_request is not None, "a hand-off belongs to a work item not yet answered"
         )
 
         def on_reply(reply: Reply) -> None:
-            self.events.hand_off_ended(act.work_item, act.number, reply)
+            self.events.hand_off_ended(action.work_item, action.number, reply)
 
         if open_request is None or not open_request.pending.is_wanted:
             # The client has disconnected, but that event is still queued: don't start work for it.
             on_reply(Reply(Outcome.UNSENT))
             return
-        backend = str(act.backend)
-        exchange = self._new_exchange(act, open_request, decided_at, on_reply)
-        open_request.exchanges[act.number] = exchange
+        backend = str(action.backend)
+        exchange = self._new_exchange(action, open_request, decided_at, on_reply)
+        open_request.exchanges[action.number] = exchange
         if not self.pools.send(backend, exchange):
             self.counters["hand-offs without a connection"] += 1
             on_reply(Reply(Outcome.UNSENT))
 
     def _new_exchange(
-        self, act: HandOff, open_request: OpenRequest, decided_at: Time, on_reply: Callable[[Reply], None]
+        self,
+        action: SendAttempt,
+        open_request: OpenRequest,
+        decided_at: Time,
+        on_reply: Callable[[Reply], None],
     ) -> Exchange:
         request = open_request.request
-        timeout = act.time_out
+        timeout = action.timeout
         if request.upload is not None:
             # The deadline includes the longest possible upload; the reply timeout starts at the last byte.
             timeout = max(
                 1, open_request.pending.deadline - decided_at - MAX_UPLOAD_TENTHS - 2 * TRANSIT_MARGIN_TENTHS
             )
         exchange = Exchange(
-            backend_protocol.encode_hand_off(request, timeout), decided_at + act.time_out, on_reply
+            backend_protocol.encode_hand_off(request, timeout), decided_at + action.timeout, on_reply
         )
-        exchange.begin_by = act.begin_by
+        exchange.begin_by = action.begin_by
         exchange.bodiless = request.method == b"HEAD"
         exchange.is_wanted = lambda: open_request.pending.is_wanted
         if request.upload is not None:
             exchange.upload, exchange.reply_timeout = request.upload, timeout
-            exchange.on_upload_start = lambda: self.events.upload_started(act.work_item, act.number)
+            exchange.on_upload_start = lambda: self.events.upload_started(action.work_item, action.number)
         return exchange
 
     def _send_probe(self, backend: str) -> None:
--- a/src/nettledeal/net/routing/router.py
+++ b/src/nettledeal/net/routing/router.py
@@ -12,8 +12,8 @@
 from gevent.event import AsyncResult
 from gevent.queue import Empty, SimpleQueue
 
-from nettledeal.learned_state import meaning_of, reset_changed
-from nettledeal.model import Life, Outcome, Step, Time
+from nettledeal.learned_state import dependencies, reset_changed
+from nettledeal.model import Lifecycle, Outcome, Step, Time
 from nettledeal.net.address import Address
 from nettledeal.net.clock import SECOND, Clock
 from nettledeal.net.counters import Counters
@@ -191,7 +191,7 @@
             self.queue.put((self._withdraw, (id,)))
 
     def _withdraw(self, id: int) -> None:
-        self._carry_out(self.balancer.withdrawn(self._now(), id))
+        self._carry_out(self.balancer.on_withdrawn(self._now(), id))
 
     def _on_wake(self) -> None:
         if self.wake_at is not None and self.wake_at <= self.clock.now():
@@ -209,15 +209,15 @@
         self.last_told = max(self.last_told, received_at)
         category = self.admission.category_number(request)
         self._carry_out(
-            self.balancer.take(
+            self.balancer.submit(
                 self.last_told,
                 id,
                 category,
                 max(received_at + 1, expiry),
                 customer=self.admission.customer_number(request),
                 key=request.key,
-                again=request.is_retry,
-                long=request.upload is not None,
+                is_retry=request.is_retry,
+                is_long=request.upload is not None,
             )
         )
 
@@ -239,7 +239,7 @@
             open_request.pending.put(HTTPStatus.OK, reply.body, reply.headers, body_stream=reply.body_stream)
             self.actions.close(id)
         self._carry_out(
-            self.balancer.returned(
+            self.balancer.on_attempt_end(
                 self._now(),
                 id,
                 number,
@@ -251,11 +251,11 @@
         )
 
     def _on_probe_ended(self, backend: str, reply: Reply) -> None:
-        step = self.balancer.probed(self._now(), backend, reply.outcome, reply.duration, reply.report or {})
+        step = self.balancer.on_probe(self._now(), backend, reply.outcome, reply.duration, reply.report or {})
         self._carry_out(step)
 
     def _on_upload_started(self, id: int, number: int) -> None:
-        self._carry_out(self.balancer.handed_on(self._now(), id, number))
+        self._carry_out(self.balancer.on_upload_forwarded(self._now(), id, number))
 
     def _run_commands(self) -> None:
         while self.commands:
@@ -273,14 +273,14 @@
     def _on_settings(
         self, settings: Mapping, customers: dict[str, int], default_timeouts: dict[str, Time], max_open: int
     ) -> None:
-        before = meaning_of(self.balancer.state.settings)
-        self._carry_out(self.balancer.retune(self._now(), settings))
+        before = dependencies(self.balancer.state.settings)
+        self._carry_out(self.balancer.apply_settings(self._now(), settings))
         for part in reset_changed(self.balancer, before, self.last_told):
             self.counters[f"begun afresh: {part}"] += 1
         state = self.balancer.state
         names = [category.name for category in state.categories]
         self.admission.update_settings(
-            names, state.named, customers, default_timeouts, max_open, self.clock.now()
+            names, state.named_count, customers, default_timeouts, max_open, self.clock.now()
         )
 
     def _sync_pool(self, backend: str) -> None:
@@ -298,7 +298,7 @@
         for listing in update.listings:
             backend = str(listing.backend)
             named.add(backend)
-            if listing.life is Life.RUNNING:
+            if listing.lifecycle is Lifecycle.RUNNING:
                 self.addresses[backend] = update.addresses[backend]
             else:
                 self.addresses.pop(backend, None)
@@ -313,9 +313,9 @@
         )
 
     def _on_discovery_lost(self) -> None:
-        self._carry_out(self.balancer.discovery_failed(self._now()))
+        self._carry_out(self.balancer.on_discovery_failed(self._now()))
 
     def _carry_out(self, step: Step) -> None:
-        if step.wake is not None and (self.wake_at is None or step.wake < self.wake_at):
-            self.wake_at = step.wake
-        self.actions.carry_out(step.acts, self.last_told)
+        if step.wake_at is not None and (self.wake_at is None or step.wake_at < self.wake_at):
+            self.wake_at = step.wake_at
+        self.actions.carry_out(step.actions, self.last_told)
--- a/src/nettledeal/net/transport/backend_connection.py
+++ b/src/nettledeal/net/transport/backend_connection.py
@@ -176,7 +176,7 @@
         except gevent.Timeout:
             if self.sock is not None:
                 reset_connection(self.sock)
-            return Reply(Outcome.OVERDUE if exchange.fully_written else Outcome.UNREACHABLE), False
+            return Reply(Outcome.TIMED_OUT if exchange.fully_written else Outcome.UNREACHABLE), False
         except OSError:
             return self._failed_reply(exchange), False
         except MalformedMessage as error:
@@ -286,7 +286,7 @@
     def _failed_reply(self, exchange: Exchange) -> Reply:
         if exchange.fully_written:
             # Once the kernel has the last byte it is unknown whether the request ran.
-            return Reply(Outcome.RECALLED if exchange.cancelled else Outcome.RESET)
+            return Reply(Outcome.CANCELLED if exchange.cancelled else Outcome.RESET)
         # If the agent or the client ended it, that says nothing about the backend.
         upload = exchange.upload
         ended_locally = exchange.cancelled or self.pool.closed or upload is not None and upload.is_abandoned
--- a/tests/test_backend_pools.py
+++ b/tests/test_backend_pools.py
@@ -198,7 +198,7 @@
 def test_timeout_closes_the_connection():
     far = Far(never_answer, replies(served()))
     rig = PoolRig(far.address)
-    assert rig.send(wait=200).outcome is Outcome.OVERDUE
+    assert rig.send(wait=200).outcome is Outcome.TIMED_OUT
     # A late response on that connection must not be taken for the next one.
     assert rig.send().outcome is Outcome.FINISHED
     assert rig.connections_opened == 2
@@ -314,7 +314,7 @@
     assert until(lambda: exchange.fully_written)
     exchange.cancel()
     assert until(lambda: replies_received)
-    assert replies_received[0].outcome is Outcome.RECALLED
+    assert replies_received[0].outcome is Outcome.CANCELLED
     assert until(lambda: not rig.pools.budget.in_use)
 
 
@@ -428,7 +428,7 @@
     if cancelled:
         exchange.cancel()
     assert until(lambda: replies_received and seen)
-    assert replies_received[0].outcome is (Outcome.RECALLED if cancelled else Outcome.OVERDUE)
+    assert replies_received[0].outcome is (Outcome.CANCELLED if cancelled else Outcome.TIMED_OUT)
     assert seen == [ConnectionResetError]
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -437,7 +437,7 @@
     assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
     assert not far.bodies
     b = agent.router.balancer.state.backends["b0"]
-    assert not b.distrust and not b.own
+    assert not b.distrust and not b.in_flight
 
 
 def test_slow_uploads_hold_only_their_first_bytes_and_one_buffer():
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -4,7 +4,7 @@
 import pytest
 from helpers import SECOND, settings, until
 
-from nettledeal.model import Life, Listing, Outcome
+from nettledeal.model import Lifecycle, Listing, Outcome
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.protocol.backend import Reply
@@ -101,7 +101,7 @@
         ("write", Outcome.FULL, None),
         ("write", Outcome.RESET, HTTPStatus.BAD_GATEWAY),
         ("write", Outcome.ERROR, HTTPStatus.BAD_GATEWAY),
-        ("write", Outcome.OVERDUE, HTTPStatus.BAD_GATEWAY),
+        ("write", Outcome.TIMED_OUT, HTTPStatus.BAD_GATEWAY),
         # Without a category the strictest rules apply.
         ("", Outcome.RESET, HTTPStatus.BAD_GATEWAY),
         ("", Outcome.UNREACHABLE, None),
@@ -123,9 +123,9 @@
 @pytest.mark.parametrize(("name", "number"), [("firm", 1), ("1", 1), ("", 0), ("stranger", -1)])
 def test_customers_are_known_by_name_or_number(name, number, monkeypatch):
     rig, seen = RouterRig(), []
-    original = rig.router.balancer.take
+    original = rig.router.balancer.submit
     monkeypatch.setattr(
-        rig.router.balancer, "take", lambda *a, **f: (seen.append(f["customer"]), original(*a, **f))[1]
+        rig.router.balancer, "submit", lambda *a, **f: (seen.append(f["customer"]), original(*a, **f))[1]
     )
     request = ClientRequest(b"r", b"GET", b"/", b"", b"", "read", None, False, customer=name)
     rig.router.submit(request, rig.clock.now(), PendingAnswer())
@@ -171,7 +171,7 @@
     assert [other.status for other in open_ones] == [None, None]
 
 
-@pytest.mark.parametrize("call", ["take", "returned"])
+@pytest.mark.parametrize("call", ["submit", "on_attempt_end"])
 def test_exception_in_the_balancer_fails_one_work_item_only(call, monkeypatch):
     rig = RouterRig()
     original = getattr(rig.router.balancer, call)
@@ -182,7 +182,7 @@
 
     monkeypatch.setattr(rig.router.balancer, call, faulty)
     pending, _ = rig.submit()
-    if call == "returned":
+    if call == "on_attempt_end":
         rig.nth_exchange().on_reply(Reply(Outcome.RESET))
     # It is unknown whether it ran, so this is no deferral.
     assert rig.status_of(pending) is HTTPStatus.BAD_GATEWAY
@@ -222,13 +222,13 @@
 def test_reported_duration_excludes_time_in_the_queue(monkeypatch):
     rig = RouterRig()
     durations = []
-    original = rig.router.balancer.returned
+    original = rig.router.balancer.on_attempt_end
 
-    def returned(now, id, number, outcome, duration, **fields):
+    def on_attempt_end(now, id, number, outcome, duration, **fields):
         durations.append(duration)
         return original(now, id, number, outcome, duration, **fields)
 
-    monkeypatch.setattr(rig.router.balancer, "returned", returned)
+    monkeypatch.setattr(rig.router.balancer, "on_attempt_end", on_attempt_end)
     pending, _ = rig.submit()
     exchange = rig.nth_exchange()
     gevent.sleep(0.01)  # longer than the duration that the reply reports
@@ -271,10 +271,12 @@
     assert pending.deadline == 5 + 2 * SECOND
 
 
-@pytest.mark.parametrize("life", [Life.DRAINING, Life.GONE])
-def test_draining_and_gone_backends_lose_their_pools(life):
+@pytest.mark.parametrize("lifecycle", [Lifecycle.DRAINING, Lifecycle.GONE])
+def test_draining_and_gone_backends_lose_their_pools(lifecycle):
     rig = RouterRig()
-    rig.router.update_catalogue(CatalogueUpdate(2, False, [Listing("b0", life=life)], {"b0": ADDRESS}))
+    rig.router.update_catalogue(
+        CatalogueUpdate(2, False, [Listing("b0", lifecycle=lifecycle)], {"b0": ADDRESS})
+    )
     assert until(lambda: set(rig.pools.pools) == {"b1"})
     for _ in range(2):
         rig.submit()
