--- a/src/nettledeal/dataplane/agent.py
+++ b/src/nettledeal/dataplane/agent.py
@@ -102,7 +102,7 @@
         table = updated_table(self._table, entries)
         self._table = table
         self.control_version = version
-        self.lease.use(roster_in(entries))
+        self.lease.update_roster(roster_in(entries))
         self.selector.update_services([_profile(service) for service in table.services.values()], now)
         self.selector.set_evacuated(table.evacuated, now)
         if self._connection_terms != self._terms():
--- a/src/nettledeal/dataplane/budgets.py
+++ b/src/nettledeal/dataplane/budgets.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from nettledeal.shares.lease import STARTING_SHARE, ShareLease
+from nettledeal.shares.lease import FIRST_WINDOW_FRACTION, ShareLease
 
 
 class SlackShare(Protocol):
@@ -74,9 +74,9 @@
         self.without_roster = without_roster
 
     def amount(self, service: str, slack: float, now: float) -> float:
-        if self.lease.known:
-            return self.lease.part(slack, now, self.window_s)
-        share = STARTING_SHARE if self.lease.starting(now, self.window_s) else 1.0
+        if self.lease.has_roster:
+            return self.lease.spendable_amount(slack, now, self.window_s)
+        share = FIRST_WINDOW_FRACTION if self.lease.in_first_window(now, self.window_s) else 1.0
         return share * self.without_roster.amount(service, slack, now)
 
 
--- a/src/nettledeal/dataplane/selection/warmup.py
+++ b/src/nettledeal/dataplane/selection/warmup.py
@@ -61,8 +61,8 @@
         """Requests a second that this agent may send to the backend."""
         bounds = self.tuning.warmup
         bound = (service.warmup_per_s * bounds.overage + bounds.slack) * self.tuning.warmup_margin
-        if self.lease is not None and self.lease.known:
-            share = self.lease.share(now, WINDOW_S + WINDOW_MARGIN_S)
+        if self.lease is not None and self.lease.has_roster:
+            share = self.lease.spendable_fraction(now, WINDOW_S + WINDOW_MARGIN_S)
             if not share:
                 return 0
             return self._part(backend_id, int(bound * share), self.lease.roster.names, self.lease.own_name)
--- a/src/nettledeal/programs/share_loop.py
+++ b/src/nettledeal/programs/share_loop.py
@@ -12,7 +12,7 @@
 from nettledeal.control.state import ChangeShares
 from nettledeal.membership.node import MembershipNode, Role
 from nettledeal.shares.roster import shares_in
-from nettledeal.shares.roster_updater import RosterKeeper
+from nettledeal.shares.roster_updater import RosterUpdater
 
 REVIEW_INTERVAL_S = 1.0
 
@@ -23,7 +23,7 @@
     def __init__(self, node: ControlNode, membership: MembershipNode):
         self._node = node
         self._membership = membership
-        self._keeper = RosterKeeper()
+        self._roster_updater = RosterUpdater()
         self._running: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -39,14 +39,14 @@
         """Look at the roster once."""
         record = self._node.epoch_record
         if not self._node.is_primary or record is None:
-            self._keeper.not_primary()
+            self._roster_updater.not_primary()
             return
         staying = {
             member.name
             for member in self._membership.members()
             if member.role == Role.EDGE and not member.leaving
         }
-        changes = self._keeper.review(now, record.epoch, staying, shares_in(self._node.state.entries))
+        changes = self._roster_updater.review(now, record.epoch, staying, shares_in(self._node.state.entries))
         if changes:
             self._submit(ChangeShares(changes))
 
--- a/src/nettledeal/shares/__init__.py
+++ b/src/nettledeal/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets that data planes share: who is counted, by the control state, and what each may spend."""
+"""Budgets shared by data planes: which of them the control state counts, and how much each may spend."""
--- a/src/nettledeal/shares/lease.py
+++ b/src/nettledeal/shares/lease.py
@@ -1,9 +1,9 @@
-"""What one data plane may spend of a shared budget, by the newest roster that it holds and how old that is.
+"""How much of a shared budget one data plane may spend, given its newest roster and that roster's age.
 
-A process in its first window, and one out of touch with the primary, falls from its equal part to a small
-share of it. The margin of each budget bears these shares beside the parts of those in touch: once for all
-that are out of touch, and for all processes killed at one time, of retries twice in one window. Times are
-seconds of a monotonic clock.
+A process in its first window, or without contact to the primary, may spend only a small fraction of its equal
+share. Each budget's margin covers these fractions on top of the full shares of the others: once for all
+processes without contact, and for all processes killed at the same time; for retries twice in one window.
+Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from nettledeal.shares.roster import LEASE_S, Roster
 
-# Of an equal part, in a process's first window: an earlier life may have spent its part.
-STARTING_SHARE = 0.156
-# Of an equal part, out of touch: those in touch may divide the whole anew.
-ISOLATED_SHARE = 0.156
+# Fraction of the equal share in a process's first window: its previous incarnation may have spent its share.
+FIRST_WINDOW_FRACTION = 0.156
+# Fraction of the equal share without contact to the primary: the others may be dividing the whole budget.
+ISOLATED_FRACTION = 0.156
 
 
 class ShareLease:
-    """This process's place in the roster. `age_s` tells how long ago the roster was confirmed, if ever."""
+    """This process's entry in the roster. `age_s` returns how long ago the roster was confirmed, if ever."""
 
     def __init__(self, own_name: str, started_at: float):
         self.own_name = own_name
@@ -27,33 +27,33 @@
         self.age_s: Callable[[], float | None] = lambda: None
         self.roster = Roster()
 
-    def use(self, roster: Roster) -> None:
-        """Take a newer version of the roster."""
+    def update_roster(self, roster: Roster) -> None:
+        """Replace the roster by a newer version."""
         self.roster = roster
 
     @property
-    def known(self) -> bool:
-        """Whether a roster has ever been made; a core of an earlier release makes none."""
+    def has_roster(self) -> bool:
+        """Whether a roster exists; core machines of earlier releases create none."""
         return self.roster.size > 0
 
     @property
-    def in_touch(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether the roster was confirmed within the lease."""
         age_s = self.age_s()
         return age_s is not None and age_s <= LEASE_S
 
-    def starting(self, now: float, window_s: float) -> bool:
-        """Whether this process is in its first window of a budget that is counted over `window_s`."""
+    def in_first_window(self, now: float, window_s: float) -> bool:
+        """Whether this process is still in its first window of a budget that is counted over `window_s`."""
         return now < self.started_at + window_s
 
-    def share(self, now: float, window_s: float) -> float:
-        """How much of an equal part this process may spend of a budget that is counted over `window_s`."""
+    def spendable_fraction(self, now: float, window_s: float) -> float:
+        """The fraction of its equal share that this process may spend of a budget counted over `window_s`."""
         if self.own_name not in self.roster.granted:
             return 0.0
-        if self.starting(now, window_s):
-            return STARTING_SHARE
-        return 1.0 if self.in_touch else ISOLATED_SHARE
+        if self.in_first_window(now, window_s):
+            return FIRST_WINDOW_FRACTION
+        return 1.0 if self.is_confirmed else ISOLATED_FRACTION
 
-    def part(self, budget: float, now: float, window_s: float) -> float:
-        """What this process may spend of a budget."""
-        return budget * self.share(now, window_s) / max(1, self.roster.size)
+    def spendable_amount(self, budget: float, now: float, window_s: float) -> float:
+        """The amount of a budget that this process may spend."""
+        return budget * self.spendable_fraction(now, window_s) / max(1, self.roster.size)
--- a/src/nettledeal/shares/roster.py
+++ b/src/nettledeal/shares/roster.py
@@ -1,8 +1,8 @@
-"""The share roster: the data planes among which shared budgets are divided, kept in the control state.
+"""The share roster: the data planes among which shared budgets are divided, stored in the control state.
 
-A name is counted from the moment at which it is entered until a lease after its grant was taken back, so
-every version of the roster that may still be in use counts all that may spend: the sum over all of them, on
-both sides of a cut, is never more than the whole.
+A name is counted from the time it is added until one lease after its grant was revoked. Every version of the
+roster that may still be in use therefore counts all data planes that may spend, so that their sum, on both
+sides of a network partition, never exceeds the whole budget.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 from nettledeal.distribution.control_source import SHARE_PREFIX
 
-# An agent spends its granted part for so long after the roster was last confirmed to be the newest.
+# How long after the last confirmation that its roster is the newest an agent may spend its full share.
 LEASE_S = 30.0
 
 
 class Share(Enum):
-    """A data plane's place in the roster. Whatever it is, the data plane is counted."""
+    """The state of a data plane's roster entry. A data plane is counted in every state."""
 
-    JOINING = b"j"  # counted, to be granted once no roster that lacks it is in use
+    JOINING = b"j"  # counted; granted once no roster without it is in use
     GRANTED = b"g"
-    RETIRING = b"r"  # granted no more; counted until no roster that grants it is in use
+    RETIRING = b"r"  # grant revoked; counted until no roster that grants it is in use
 
 
 class Roster(msgspec.Struct, frozen=True):
-    """One version of the roster. `names` are all that are counted, in order."""
+    """One version of the roster. `names` are all counted data planes, sorted."""
 
     names: tuple[str, ...] = ()
     granted: frozenset[str] = frozenset()
 
     @property
     def size(self) -> int:
-        """How many share the budgets."""
+        """The number of data planes that share the budgets."""
         return len(self.names)
 
 
 def shares_in(entries: Mapping[str, bytes]) -> dict[str, Share]:
-    """The roster's entries in the control state; those that this release does not know count as retiring."""
+    """The roster's entries in the control state; values unknown to this release count as retiring."""
     return {
         key.removeprefix(SHARE_PREFIX): _share(value)
         for key, value in entries.items()
--- a/tests/system/control_exploring.py
+++ b/tests/system/control_exploring.py
@@ -1,14 +1,14 @@
-"""Every interleaving of a few replicas within bounds: the very `Replica` that runs on sockets.
+"""Bounded model checking of a few replicas: all interleavings, on the production class `Replica`.
 
-A state is what the replicas hold, what is on their disks and what is on its way. Messages of one replica to
-another arrive in order, at any time or never, and a link may be reset with all that is on it; a replica may
-suspect its primary, be dropped, leave, crash or lose its disk at any moment. Clocks are left out, so nobody
-is loyal to a primary because it was heard lately. (Any order on one link is drawn by `control_rehearsal`.)
+A state consists of the replicas, their disks and the messages in flight. Messages on a link arrive in order,
+at any time or never, and a link may be reset, which loses its messages. At any moment a replica may suspect
+its primary, be dropped, leave, crash or lose its disk. Time isn't modeled, so no replica refuses an election
+because it heard the primary recently. (Reordering on a link is covered by `control_rehearsal`.)
 
-Two reductions keep the number of states down. Of heartbeats and their answers the latest on a link stands for
-those before it. Messages that can change nothing any more are left out as soon as that is so.
+Two reductions limit the number of states. Only the latest heartbeat and the latest answer on a link are kept.
+Messages are dropped as soon as they can no longer have any effect.
 
-Whole bounds are explored many states at a time: `vector_exploring`, `experiments/control_bounds.py`.
+`vector_exploring` and `experiments/control_bounds.py` explore complete bounds, many states at a time.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each thing may happen on one path; `count` is the number of replicas.
+    """How often each kind of event may occur on one path; `count` is the number of replicas.
 
-    With four the last has come in the zone of the third, whose place it is to take.
+    With four replicas, the last one is in the zone of the third, which it is meant to replace.
     """
 
     elections: int = 2
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Exploration:
-    """How many states were seen, whether all were within the bounds, and what broke with the way to it."""
+    """The number of states seen, whether the bounds were exhausted, and a violation with the path to it."""
 
     states: int
     complete: bool
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class PathHistory:
-    """What has happened on the way, as far as promises depend on it."""
+    """The part of a path's history on which the invariants depend."""
 
     acknowledged: frozenset[str] = frozenset()
     pending: tuple[tuple[int, str, frozenset[str]], ...] = ()
@@ -70,13 +70,13 @@
     actors: frozenset[tuple[int, str, int]] = frozenset()
 
 
-# Numbers of local states by host, ENDED for a process that has left; numbers of messages by link; the number
-# of what may still happen; the number of a `PathHistory`.
+# Local state numbers by host, ENDED for a process that has exited; message numbers by link; the number of the
+# remaining bounds; the number of a `PathHistory`.
 State = tuple[tuple[int | None, ...], tuple[tuple[int, ...], ...], int, int]
 
 
 class Explorer:
-    """Breadth first, so the way told of a broken promise is a shortest one."""
+    """Breadth-first search, so the reported path to a violation is a shortest one."""
 
     def __init__(self, bounds: Bounds, replica_type: Callable[..., Replica] = ExploredReplica):
         self.bounds = bounds
@@ -92,7 +92,7 @@
         self._observations: dict[tuple[int, int], int | str] = {}
 
     def explore(self) -> Exploration:
-        """All that can be reached within the bounds, from a settled first epoch."""
+        """Explore everything reachable within the bounds, starting from a stable first epoch."""
         start = self._initial_state()
         seen = {start}
         queue: deque[tuple[State, tuple]] = deque([(start, ())])
@@ -108,10 +108,10 @@
                 return Exploration(len(seen), False)
         return Exploration(len(seen), True)
 
-    # The first state
+    # Initial state
 
     def _initial_state(self) -> State:
-        """The first epoch, acting at the first host and known to all."""
+        """Epoch 1 with an acting primary at the first host, known to all replicas."""
         zones = [f"z{min(number, 2)}" for number in range(len(self.hosts))]
         voters = tuple(
             ReplicaInfo(f"{host}-seed", host, zone, "r", "", int(number == 3))
@@ -127,12 +127,12 @@
             self._remaining_number(self.bounds),
             self._history_number(PathHistory()),
         )
-        state = self._apply_event(state, 0, ("stand",))
+        state = self._apply_event(state, 0, ("elect",))
         for _ in range(6):
             while any(state[1]):
                 link = next(number for number, messages in enumerate(state[1]) if messages)
                 state = self._deliver_first(state, link)
-            state = self._apply_event(state, 0, ("beat",))
+            state = self._apply_event(state, 0, ("heartbeat",))
         view = self.replicas.views[state[0][0]]
         assert view.acting_in == 1 and view.committed is not None
         return (state[0], links, state[2], state[3])
@@ -145,19 +145,19 @@
         return number
 
     def _after_use(self, remaining: int, what: str) -> int:
-        """What may still happen once one more of `what` has."""
+        """The number of the remaining bounds after one more event of kind `what`."""
         key = (remaining, what)
         if key not in self._after_use_numbers:
             bounds = self._remaining_bounds[remaining]
-            spent = replace(bounds, **{what: getattr(bounds, what) - 1})
-            self._after_use_numbers[key] = self._remaining_number(spent)
+            remaining_after = replace(bounds, **{what: getattr(bounds, what) - 1})
+            self._after_use_numbers[key] = self._remaining_number(remaining_after)
         return self._after_use_numbers[key]
 
-    # Steps
+    # Transitions
 
     def _next_states(self, state: State) -> Iterator[tuple[str, State | str]]:
-        numbers, sent, remaining, history = state
-        for link, messages in enumerate(sent):
+        numbers, queues, remaining, history = state
+        for link, messages in enumerate(queues):
             if not messages:
                 continue
             source, target = divmod(link, len(self.hosts))
@@ -165,24 +165,24 @@
             content = type(self.replicas.messages[messages[0]]).__name__
             yield f"{name}: {content}", self._deliver_first(state, link)
             if self._remaining_bounds[remaining].resets:
-                spent = self._after_use(remaining, "resets")
-                yield f"{name} is reset", (numbers, _without(sent, link), spent, history)
+                remaining_after = self._after_use(remaining, "resets")
+                yield f"{name} is reset", (numbers, _without(queues, link), remaining_after, history)
         for host, number in enumerate(numbers):
             if number is ENDED:
                 continue
             view = self.replicas.views[number]
             if view.may_end:
                 yield f"{self.hosts[host]} ends", self._end(state, host)
-            for what, event, spent in self._events(remaining, self.hosts[host], view):
-                after = self._apply_event((numbers, sent, spent, history), host, event)
+            for what, event, remaining_after in self._events(remaining, self.hosts[host], view):
+                after = self._apply_event((numbers, queues, remaining_after, history), host, event)
                 yield f"{self.hosts[host]} {what}", after
 
     def _events(self, remaining: int, host: str, view: View) -> Iterator[tuple[str, Event, int]]:
         bounds = self._remaining_bounds[remaining]
         if view.may_enter_second_phase:
-            yield "goes on", ("go on",), remaining
+            yield "enters the second phase", ("enter second phase",), remaining
         if bounds.elections and view.may_lead:
-            yield "stands", ("stand",), self._after_use(remaining, "elections")
+            yield "starts an election", ("elect",), self._after_use(remaining, "elections")
         if bounds.crashes:
             yield "restarts", ("restart",), self._after_use(remaining, "crashes")
         if bounds.wipes:
@@ -199,61 +199,63 @@
         if bounds.orders:
             digest = f"{host}.{bounds.orders}".encode()
             order = PutConfiguration(0, 1, digest, digest)
-            yield "is given an order", ("order", call_id, order), self._after_use(remaining, "orders")
+            yield "receives an order", ("order", call_id, order), self._after_use(remaining, "orders")
         if bounds.reads:
-            yield "is read", ("read", call_id), self._after_use(remaining, "reads")
+            yield "receives a read", ("read", call_id), self._after_use(remaining, "reads")
         if bounds.beats:
-            yield "beats", ("beat",), self._after_use(remaining, "beats")
+            yield "sends heartbeats", ("heartbeat",), self._after_use(remaining, "beats")
         if bounds.drops:
             for name in view.droppable:
                 yield f"drops {name}", ("drop", name), self._after_use(remaining, "drops")
 
     def _deliver_first(self, state: State, link: int) -> State | str:
-        numbers, sent, remaining, history = state
+        numbers, queues, remaining, history = state
         source, target = divmod(link, len(self.hosts))
-        message, *rest = sent[link]
-        sent = (*sent[:link], tuple(rest), *sent[link + 1 :])
+        message, *rest = queues[link]
+        queues = (*queues[:link], tuple(rest), *queues[link + 1 :])
         if numbers[target] is ENDED or numbers[source] is ENDED:
-            return (numbers, sent, remaining, history)
+            return (numbers, queues, remaining, history)
         transition = self.replicas.deliver(numbers[target], numbers[source], message)
-        return self._apply_transition((numbers, sent, remaining, history), target, transition, ())
+        return self._apply_transition((numbers, queues, remaining, history), target, transition, ())
 
     def _end(self, state: State, host: int) -> State | str:
-        numbers, sent, remaining, history = state
-        sent = tuple(() if host in divmod(link, len(self.hosts)) else way for link, way in enumerate(sent))
-        state = ((*numbers[:host], ENDED, *numbers[host + 1 :]), sent, remaining, history)
+        numbers, queues, remaining, history = state
+        queues = tuple(
+            () if host in divmod(link, len(self.hosts)) else queue for link, queue in enumerate(queues)
+        )
+        state = ((*numbers[:host], ENDED, *numbers[host + 1 :]), queues, remaining, history)
         return self._loss_violation(state) or state
 
     def _apply_event(self, state: State, host: int, event: Event) -> State | str:
-        """The state after an event, or which promise it broke."""
-        numbers, sent, remaining, history = state
+        """The state after an event, or the invariant that it violated."""
+        numbers, queues, remaining, history = state
         transition = self.replicas.apply_event(numbers[host], event)
         if event[0] in ("restart", "wipe"):
-            sent = tuple(
-                () if host in divmod(link, len(self.hosts)) else way for link, way in enumerate(sent)
+            queues = tuple(
+                () if host in divmod(link, len(self.hosts)) else queue for link, queue in enumerate(queues)
             )
         if event[0] == "wipe":
-            sent = self._latest_record_queue(sent, host, history)
+            queues = self._latest_record_queue(queues, host, history)
         pending = ()
         if event[0] == "order":
             pending = ((event[1], event[2].digest.hex(), frozenset()),)
         elif event[0] == "read":
             pending = ((event[1], "", self._histories[history].acknowledged),)
-        return self._apply_transition((numbers, sent, remaining, history), host, transition, pending)
+        return self._apply_transition((numbers, queues, remaining, history), host, transition, pending)
 
-    def _latest_record_queue(self, sent, host: int, history: int):
-        """Another replica greets one that comes back with an empty disk."""
+    def _latest_record_queue(self, queues, host: int, history: int):
+        """Another replica sends the latest record to one that comes back with an empty disk."""
         latest = max(self._histories[history].records, key=lambda record: record.epoch)
         link = (0 if host else 1) * len(self.hosts) + host
-        return (*sent[:link], (self.replicas.message_number(Decided(latest)),), *sent[link + 1 :])
+        return (*queues[:link], (self.replicas.message_number(Decided(latest)),), *queues[link + 1 :])
 
     def _apply_transition(
         self, state: State, host: int, transition: Transition, pending: tuple
     ) -> State | str:
-        numbers, sent, remaining, history_number = state
+        numbers, queues, remaining, history_number = state
         if transition.next_state != numbers[host]:
             numbers = (*numbers[:host], transition.next_state, *numbers[host + 1 :])
-        sent = self._with_sends(sent, host, transition)
+        queues = self._with_sends(queues, host, transition)
         history = self._histories[history_number]
         if pending:
             history = replace(history, pending=history.pending + pending)
@@ -264,20 +266,20 @@
         history_number = self._observe(self._history_number(history), transition.next_state)
         if isinstance(history_number, str):
             return history_number
-        # A drop could make a message count again.
+        # A drop could make an obsolete message relevant again.
         if not self._remaining_bounds[remaining].drops:
-            sent = self._drop_obsolete(numbers, sent, host)
-        state = (numbers, sent, remaining, history_number)
+            queues = self._drop_obsolete(numbers, queues, host)
+        state = (numbers, queues, remaining, history_number)
         return self._loss_violation(state) or state
 
-    def _with_sends(self, sent, host: int, transition: Transition):
+    def _with_sends(self, queues, host: int, transition: Transition):
         if not transition.sends:
-            return sent
-        ways = list(sent)
+            return queues
+        updated_queues = list(queues)
         for target, message in transition.sends:
             link = host * len(self.hosts) + target
-            ways[link] = self._enqueue(ways[link], message)
-        return tuple(ways)
+            updated_queues[link] = self._enqueue(updated_queues[link], message)
+        return tuple(updated_queues)
 
     def _enqueue(self, messages: tuple[int, ...], message: int) -> tuple[int, ...]:
         if message in messages:
@@ -289,18 +291,20 @@
             )
         return (*messages, message)
 
-    def _drop_obsolete(self, numbers, sent, host: int):
-        """Without messages from or to a host that can change nothing."""
+    def _drop_obsolete(self, numbers, queues, host: int):
+        """Remove messages from or to a host that can no longer have any effect."""
         count = len(self.hosts)
-        ways = list(sent)
+        updated_queues = list(queues)
         for other in range(count):
             if ENDED in (numbers[host], numbers[other]):
                 continue
             for source, target in ((host, other), (other, host)):
                 link = source * count + target
-                if ways[link]:
-                    ways[link] = self._relevant_messages(numbers[target], numbers[source], ways[link])
-        return tuple(ways)
+                if updated_queues[link]:
+                    updated_queues[link] = self._relevant_messages(
+                        numbers[target], numbers[source], updated_queues[link]
+                    )
+        return tuple(updated_queues)
 
     def _relevant_messages(self, target: int, source: int, messages: tuple[int, ...]) -> tuple[int, ...]:
         key = (target, source, messages)
@@ -311,7 +315,7 @@
         return self._relevant_cache[key]
 
     def _observe(self, history: int, number: int) -> int | str:
-        """The past with what a replica shows, or which promise it broke."""
+        """The history extended by a replica's visible state, or the invariant that it violates."""
         key = (history, number)
         if key not in self._observations:
             checked = _check_view(self._histories[history], self.replicas.views[number])
@@ -325,10 +329,10 @@
             self._histories.append(history)
         return number
 
-    # One further loss
+    # Survival of one further loss
 
     def _loss_violation(self, state: State) -> str:
-        """Empty if each machine that the tolerance allows may be lost now; else what would be missing."""
+        """Empty if any machine may be lost now, as the tolerance allows; else what would be missing."""
         numbers, _, _, history = state
         key = (numbers, self._histories[history].acknowledged)
         if key not in self._loss_violations:
@@ -342,7 +346,7 @@
     if record is None or len(views) < 2:
         return ""
     alive = {view.info.replica_id for view in views}
-    # Of an odd number one that was stopped is awaited with its disk; an even number has to do without it.
+    # With an odd number of voters, a stopped one is expected back with its disk; with an even number not.
     awaited = record.voter_ids - alive if len(record.voters) % 2 else frozenset()
     behind = {name for name in alive if name not in record.in_sync}
     wiped = _lost_disks(record, views)
@@ -359,7 +363,7 @@
 
 
 def _lost_disks(record: EpochRecord, views: list[View]) -> set[str]:
-    """Voters at whose address another identity lives by now."""
+    """Voters whose address is used by another identity now."""
     identities = {view.info.host: view.info.replica_id for view in views}
     return {
         voter.replica_id
@@ -382,7 +386,7 @@
 
 
 def _can_agree(views: list[View], names: set[str]) -> bool:
-    """Whether those that remain can decide an epoch: a majority of the last known, and of what may follow."""
+    """Whether the rest can decide an epoch, by the last known record and by any accepted successor."""
     known = max((view.record for view in views), key=lambda record: record.epoch)
     if len(known.voter_ids & names) < known.majority:
         return False
@@ -408,8 +412,8 @@
     return tuple(reversed(steps))
 
 
-def _without(sent, link: int):
-    return (*sent[:link], (), *sent[link + 1 :])
+def _without(queues, link: int):
+    return (*queues[:link], (), *queues[link + 1 :])
 
 
 def record_answers(history: PathHistory, answer: Answer) -> PathHistory | str:
@@ -428,7 +432,7 @@
 
 
 def _check_view(history: PathHistory, view: View) -> PathHistory | str:
-    """The past with what a replica shows, or which promise it broke."""
+    """The history extended by a replica's visible state, or the invariant that it violates."""
     records = history.records | {view.record}
     if len({record.epoch for record in records}) < len(records):
         return f"epoch {view.record.epoch} was decided twice"
--- a/tests/system/control_rehearsal.py
+++ b/tests/system/control_rehearsal.py
@@ -1,9 +1,9 @@
-"""Replicas of the control state in simulated time; run as a module it plays many seeds.
+"""Deterministic simulation of the control state's replicas with injected faults.
 
-The world holds what the protocol must bear: messages are lost, late, repeated and overtaken, links are cut
-one way or both, processes stop, die and lose power with what they had not synced, disks hang, fail, and are
-lost as often as the tolerance allows, machines are replaced. Clients send orders to any replica and look for
-broken promises.
+Messages are lost, delayed, duplicated and reordered; links are cut in one or both directions; processes
+pause, crash and lose power along with unsynced writes; disks hang, fail, and are lost as far as the tolerance
+allows; machines are replaced. Clients send orders to any replica, and invariants are checked throughout. Run
+as a module, it plays the schedules of many seeds.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 SETTLE_S = 25.0
 POWER_LOSS_PROBABILITY = 0.25
 MIN_TIMER_DELAY_S = 0.002
-LEAVE_S = 4.4
+LEAVE_GRACE_S = 4.4
 LEAVE_CHECK_S = 0.02
 
 
@@ -57,18 +57,18 @@
 
 @dataclass
 class Disk:
-    """Writes in order, of which a crash keeps those that were synced and some of those that follow."""
+    """Writes in order; a crash keeps the synced ones and a prefix of the unsynced ones."""
 
     durable: DurableState
     unsynced: deque[tuple[int, Write]] = field(default_factory=deque)
-    hangs_until: float = 0.0
-    fails_until: float = 0.0
+    hanging_until: float = 0.0
+    failing_until: float = 0.0
     busy: bool = False
 
 
 @dataclass
 class Machine:
-    """One core machine. `deferred` keeps what happens while its process stands still."""
+    """One core machine. `deferred` collects the events that arrive while its process is paused."""
 
     host: str
     zone: str
@@ -88,7 +88,7 @@
 
 @dataclass
 class Order:
-    """A client's configuration on top of a version; `acknowledged_at` once accepted."""
+    """A client's order to replace a version of the configuration."""
 
     command: PutConfiguration
     acknowledged: bool = False
@@ -96,7 +96,7 @@
 
 
 class World:
-    """Machines, their links and the promises that are looked at after every step."""
+    """Machines and their links; invariants are checked after every event."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
             self.add(f"h{n}", f"z{n}", bootstrap=f"h{n}" in self.seeds)
 
     def clock(self, machine: Machine) -> float:
-        """The time of a machine's own steady clock."""
+        """The time of a machine's own monotonic clock."""
         return self.now + machine.clock_offset_s
 
     # Events
@@ -215,8 +215,10 @@
         self.crash(machine)
         machine.removed = True
 
-    def leave(self, machine: Machine, then: Callable[[Machine], None], grace_s: float = LEAVE_S) -> None:
-        """SIGTERM: the process ends once it may, at the latest after `grace_s`; then `then` is called."""
+    def leave(
+        self, machine: Machine, then: Callable[[Machine], None], grace_s: float = LEAVE_GRACE_S
+    ) -> None:
+        """SIGTERM: the process exits once it may, at the latest after `grace_s`; then `then` is called."""
         if machine.replica is None:
             then(machine)
             return
@@ -224,7 +226,7 @@
         self._await_exit(machine, machine.incarnation, self.now + grace_s, then)
 
     def _terminate(self, machine: Machine, incarnation: int) -> None:
-        """The signal; a process that stands still gets it before anything else once it goes on."""
+        """Deliver the signal; a paused process gets it first when it resumes."""
         if machine.replica is None or machine.incarnation != incarnation:
             return
         if machine.paused:
@@ -248,13 +250,13 @@
         return [machine for machine in self.machines.values() if machine.replica is not None]
 
     def primary(self) -> Machine:
-        """The first running machine that takes itself for the primary."""
+        """The first running machine that considers itself the primary."""
         return next(machine for machine in self.running() if machine.replica.primary is not None)
 
     def stored_record(self) -> EpochRecord | None:
-        """The latest record that a majority of its voters has on the disk.
+        """The latest record that a majority of its voters has on disk.
 
-        A later one may be decided, but so far only its proposer knows: who it replaces is not replaced yet.
+        A later one may be decided but known only to its proposer; the replicas it replaces are still needed.
         """
         epochs = {
             machine.identity: machine.disk.durable.acceptor.epoch
@@ -269,11 +271,11 @@
         return None
 
     def listed(self) -> list[str]:
-        """Hosts that the platform's settings name as seeds by now."""
+        """Hosts that the platform's settings currently name as seeds."""
         return [host for host, machine in self.machines.items() if not machine.removed][-3:]
 
     def _open_connections(self, machine: Machine, incarnation: int) -> None:
-        """Stands for the connections that a host keeps open: one greeting on each new one."""
+        """Model the connections that a host keeps open: one Hello on each new connection."""
         if machine.replica is None or machine.incarnation != incarnation:
             return
         if not machine.paused:
@@ -296,20 +298,20 @@
             self.at(self.now + self.delay_s, self._on_arrival, host, machine.replica.info, hello, None)
 
     def reconnect(self, pairs: set[tuple[str, str]]) -> None:
-        """End cuts; the connections that they held up are opened anew."""
+        """End cuts; the connections that they blocked are reopened."""
         self.cuts -= pairs
         self.greeted_connections = {
             entry for entry in self.greeted_connections if (entry[0], entry[2]) not in pairs
         }
 
-    # Carrying out
+    # Effects
 
     def run_effects(self, machine: Machine) -> None:
         replica = machine.replica
         effects = replica.take_effects()
         for number, write in effects.writes:
             machine.disk.unsynced.append((number, write))
-        self._keep_syncing(machine)
+        self._start_sync(machine)
         for send in effects.sends:
             if send.after_write <= machine.synced:
                 self._transmit(machine, send.host, send.message)
@@ -333,12 +335,12 @@
         machine.replica.tick(self.clock(machine))
         self.run_effects(machine)
 
-    def _keep_syncing(self, machine: Machine) -> None:
+    def _start_sync(self, machine: Machine) -> None:
         disk = machine.disk
         if disk.busy or not disk.unsynced:
             return
         disk.busy = True
-        finished_at = max(self.now, disk.hangs_until, disk.fails_until) + SYNC_S * (
+        finished_at = max(self.now, disk.hanging_until, disk.failing_until) + SYNC_S * (
             0.5 + self.random.random()
         )
         self.at(finished_at, self._sync, machine, machine.incarnation, len(disk.unsynced))
@@ -409,7 +411,7 @@
         start_call(self.last_call_id)
         self.run_effects(machine)
 
-    # Promises
+    # Invariants
 
     def _check_invariants(self, machine: Machine) -> None:
         replica = machine.replica
@@ -431,7 +433,7 @@
                 )
 
     def accepted(self, command: PutConfiguration) -> None:
-        """An order was acknowledged: it must be in every state read from now on."""
+        """Record an acknowledged order, which every later read must contain."""
         for digest, expected in self.acknowledged.items():
             if expected == command.expected_version and digest != command.digest.hex():
                 self.violations.append(f"two orders on version {expected} were both acknowledged")
@@ -440,7 +442,7 @@
             call()
 
     def check_read(self, state: ControlState, acknowledged: set[str]) -> None:
-        """A read must hold what had been acknowledged when it began."""
+        """Check that a read contains everything that was acknowledged when it began."""
         missing = [digest for digest in acknowledged if ACCEPTED_PREFIX + digest not in state.entries]
         if missing:
             self.violations.append(f"a read of {state.sequence} lacks acknowledged orders {missing}")
@@ -459,7 +461,7 @@
 
 
 class Client:
-    """Sends orders, each until it has a clear answer, and reads between them."""
+    """Sends orders, each until it gets a definite answer, with reads in between."""
 
     def __init__(self, world: World, name: str, until: float):
         self.world, self.name, self.until = world, name, until
@@ -469,9 +471,9 @@
         self.generation = 0
         self.answer_count = 0
         self.resendable: list[Order] = []
-        world.at(1.0 + self.random.random(), self._next)
+        world.at(1.0 + self.random.random(), self._next_action)
 
-    def _next(self) -> None:
+    def _next_action(self) -> None:
         if self.world.now >= self.until:
             return
         if self.order is not None:
@@ -481,8 +483,8 @@
         elif self.resendable and self.random.random() < 0.2:
             self._resend(self.random.choice(self.resendable))
         else:
-            self._begin()
-        self.world.at(self.world.now + 0.05 + 0.6 * self.random.random(), self._next)
+            self._send_new_order()
+        self.world.at(self.world.now + 0.05 + 0.6 * self.random.random(), self._next_action)
 
     def _machine(self) -> Machine | None:
         running = self.world.running()
@@ -490,7 +492,7 @@
         among = leading if leading and self.random.random() < 0.8 else running
         return self.random.choice(among) if among else None
 
-    def _begin(self) -> None:
+    def _send_new_order(self) -> None:
         self.count += 1
         generation = self.generation + self.random.randint(1, 3)
         digest = f"{self.name}.{self.count}".encode()
@@ -502,7 +504,7 @@
         if machine is None:
             return
         began = self.world.now
-        # Until an answer comes, the try may take effect at any time.
+        # Until an answer arrives, the attempt may take effect at any time.
         position = len(self.world.history.puts)
         self.world.history.puts.append(_put(order.command, began, FOREVER, Answer.UNCLEAR))
 
@@ -540,9 +542,9 @@
         machine = self._machine()
         if machine is not None:
             acknowledged, began = set(self.world.acknowledged), self.world.now
-            self.world.read(machine, lambda result: self._have_read(acknowledged, began, result))
+            self.world.read(machine, lambda result: self._on_read(acknowledged, began, result))
 
-    def _have_read(self, acknowledged: set[str], began: float, result: ControlState | ErrorCode) -> None:
+    def _on_read(self, acknowledged: set[str], began: float, result: ControlState | ErrorCode) -> None:
         if isinstance(result, ControlState):
             self.world.check_read(result, acknowledged)
             name = (result.configuration or b"").decode()
@@ -551,32 +553,32 @@
 
 
 class FaultInjector:
-    """Draws a schedule of faults; disks are lost only as far as the tolerance allows."""
+    """Injects a random schedule of faults; disks are lost only as far as the tolerance allows."""
 
     def __init__(self, world: World, until: float):
         self.world, self.until = world, until
         self.random = Random(world.random.getrandbits(64))
         self.replacement_count = 0
         world.on_accepted.append(self._power_loss_after_acceptance)
-        world.at(1.5 + self.random.random(), self._next)
+        world.at(1.5 + self.random.random(), self._next_action)
 
     def _power_loss_after_acceptance(self) -> None:
-        """Now and then every machine loses power as an order is acknowledged."""
+        """With some probability, all machines lose power just as an order is acknowledged."""
         if self.world.now < self.until and self.random.random() < POWER_LOSS_PROBABILITY:
             self.world.at(self.world.now + self.random.random() * 0.004, self._kill_all)
 
-    def _next(self) -> None:
+    def _next_action(self) -> None:
         world = self.world
         if world.now >= self.until:
             return
         self.random.choice(self.faults())()
-        world.at(world.now + 0.1 + self.random.random() ** 2 * 3.0, self._next)
+        world.at(world.now + 0.1 + self.random.random() ** 2 * 3.0, self._next_action)
 
     def faults(self) -> tuple[Callable[[], None], ...]:
-        """What may happen, as often as it is named."""
+        """The faults to draw from; repeated entries are more likely."""
         return (
-            self._kill,
-            self._kill,
+            self._kill_some,
+            self._kill_some,
             self._kill_all,
             self._pause,
             self._cut_both_ways,
@@ -585,10 +587,10 @@
             self._degrade_network,
             self._hang_disks,
             self._fail_disk,
-            self._wipe,
-            self._wipe_with_power_loss,
-            self._replace,
-            self._leave,
+            self._wipe_disks,
+            self._wipe_disks_with_power_loss,
+            self._replace_machine,
+            self._leave_and_restart,
         )
 
     def _fault_duration_s(self) -> float:
@@ -598,7 +600,7 @@
         machines = [machine for machine in self.world.machines.values() if not machine.removed]
         return self.random.sample(machines, self.random.randint(1, max(1, len(machines) // 2)))
 
-    def _kill(self) -> None:
+    def _kill_some(self) -> None:
         for machine in self._random_machines():
             self._restart_after(machine, self._fault_duration_s())
 
@@ -606,9 +608,9 @@
         for machine in list(self.world.machines.values()):
             self._restart_after(machine, 0.2 + self.random.random())
 
-    def _restart_after(self, machine: Machine, span: float) -> None:
+    def _restart_after(self, machine: Machine, duration_s: float) -> None:
         self.world.crash(machine)
-        self.world.at(self.world.now + span, self.world.start, machine)
+        self.world.at(self.world.now + duration_s, self.world.start, machine)
 
     def _pause(self) -> None:
         for machine in self._random_machines():
@@ -652,17 +654,17 @@
             self.random.choice(self._random_machines()), self._fault_duration_s(), noticed_after_s=0.01
         )
 
-    def _stall_disk(self, machine: Machine, span: float, noticed_after_s: float) -> None:
+    def _stall_disk(self, machine: Machine, duration_s: float, noticed_after_s: float) -> None:
         world = self.world
-        machine.disk.hangs_until = max(machine.disk.hangs_until, world.now + span)
-        if span > noticed_after_s:
+        machine.disk.hanging_until = max(machine.disk.hanging_until, world.now + duration_s)
+        if duration_s > noticed_after_s:
             world.at(world.now + noticed_after_s, world.set_storage, machine, machine.incarnation, False)
-            world.at(world.now + span + 0.05, world.set_storage, machine, machine.incarnation, True)
+            world.at(world.now + duration_s + 0.05, world.set_storage, machine, machine.incarnation, True)
 
-    def _wipes_left(self) -> int:
-        """How many more disks may be lost, by the latest epoch that a majority of its voters has stored.
+    def _remaining_disk_losses(self) -> int:
+        """How many more disks may be lost, given the latest epoch that a majority of its voters has stored.
 
-        Voters whose disk is lost for good, machines that are about to leave for good and those not in sync
+        Voters whose disk is permanently lost, machines about to leave permanently and machines not in sync
         count as lost already.
         """
         world = self.world
@@ -677,63 +679,63 @@
         lost = (staying - set(record.in_sync)) | (record.voter_ids - staying)
         return max(0, world.tolerance.machines - len(lost))
 
-    def _wipe(self) -> None:
-        for machine in self._random_machines()[: self._wipes_left()]:
+    def _wipe_disks(self) -> None:
+        for machine in self._random_machines()[: self._remaining_disk_losses()]:
             self._lose_disk(machine)
 
     def _lose_disk(self, machine: Machine) -> None:
         self.world.wipe(machine)
         self.world.at(self.world.now + 0.2 + self._fault_duration_s(), self.world.start, machine)
 
-    def _wipe_with_power_loss(self) -> None:
-        chosen = self._random_machines()[: self._wipes_left()]
+    def _wipe_disks_with_power_loss(self) -> None:
+        chosen = self._random_machines()[: self._remaining_disk_losses()]
         for machine in list(self.world.machines.values()):
             if machine in chosen:
                 self._lose_disk(machine)
             else:
                 self._restart_after(machine, 0.2 + self.random.random())
 
-    def _replace(self) -> None:
-        if self._wipes_left() < 1 or self.replacement_count >= 3:
+    def _replace_machine(self) -> None:
+        if self._remaining_disk_losses() < 1 or self.replacement_count >= 3:
             return
         machine = self.random.choice(self._random_machines())
         self.replacement_count += 1
         machine.leaving_for_good = True
-        how = self.random.choice((self._replace_dead, self._replace_first, self._replace_planned))
+        how = self.random.choice((self._replace_dead, self._replace_leave_first, self._replace_join_first))
         how(machine, f"spare{self.replacement_count}")
 
     def _replace_dead(self, machine: Machine, host: str) -> None:
         self.world.remove(machine)
         self.world.add(host, machine.zone)
 
-    def _replace_first(self, machine: Machine, host: str) -> None:
-        """The one that is leaving goes before the other comes."""
+    def _replace_leave_first(self, machine: Machine, host: str) -> None:
+        """The old machine starts to leave before the new one joins."""
         self.world.leave(machine, self.world.remove)
         self.world.add(host, machine.zone)
 
-    def _replace_planned(self, machine: Machine, host: str) -> None:
-        """The new machine comes first; the old one leaves a second later."""
+    def _replace_join_first(self, machine: Machine, host: str) -> None:
+        """The new machine joins first; the old one leaves a second later."""
         self.world.add(host, machine.zone)
         self.world.at(self.world.now + 1.0, self.world.leave, machine, self.world.remove)
 
-    def _leave(self) -> None:
-        """Some are stopped and started again; now and then one is killed as it leaves."""
+    def _leave_and_restart(self) -> None:
+        """Some machines are stopped and restarted; sometimes one is killed while it leaves."""
         for machine in self._random_machines():
             if self.random.random() < 0.25:
                 self.world.at(self.world.now + 0.3 * self.random.random(), self._restart_after, machine, 0.2)
-            self.world.leave(machine, self._start_again)
+            self.world.leave(machine, self._restart)
 
-    def _start_again(self, machine: Machine) -> None:
+    def _restart(self, machine: Machine) -> None:
         self.world.at(self.world.now + 0.2, self.world.start, machine)
 
 
 def heal(world: World) -> None:
-    """End every trouble."""
+    """End all faults."""
     world.reconnect(set(world.cuts))
     world.loss = world.duplication = 0.0
     world.jitter_s = 0.02
     for machine in world.machines.values():
-        machine.disk.hangs_until = 0.0
+        machine.disk.hanging_until = 0.0
         if machine.replica is None:
             world.start(machine)
         elif machine.paused:
@@ -741,7 +743,7 @@
 
 
 def settled(world: World) -> list[str]:
-    """What does not hold after the troubles: one primary, all machines in sync, all states alike."""
+    """What doesn't hold after the faults: one primary, all machines in sync, equal states."""
     found = list(dict.fromkeys(world.violations))
     running = world.running()
     leading = [machine for machine in running if machine.replica.primary is not None]
@@ -776,7 +778,7 @@
     length_s: float = 20.0,
     replica_type: Callable[..., Replica] = Replica,
 ) -> list[str]:
-    """Play the schedule of a seed; what did not hold of it."""
+    """Play the schedule of a seed; returns the violations."""
     world = World(seed, count, machines=machines, replica_type=replica_type)
     clients = [Client(world, f"c{n}", length_s + SETTLE_S / 2) for n in range(3)]
     FaultInjector(world, length_s)
@@ -789,7 +791,7 @@
     world.run(length_s + SETTLE_S)
     found = settled(world) + world.history.faults()
     if not found and sum(client.answer_count for client in clients) == before:
-        found.append("no order was answered after the troubles")
+        found.append("no order was answered after the faults ended")
     return found
 
 
--- a/tests/system/control_worst_days.py
+++ b/tests/system/control_worst_days.py
@@ -1,9 +1,8 @@
-"""Schedules of the worst days: everything of `control_rehearsal`, and what only those days have.
+"""Schedules with more severe faults than those of `control_rehearsal`.
 
-Cuts of 20 s; full disks, of some machines or all; answers to operators that are lost; steady clocks that
-differ and leap ahead (they never go back: it is the kernel's monotonic clock, whatever is done to the date);
-and machines that serve traffic too, whose processor is a quota that is spent again and again. The orders of
-all operators are checked as one history.
+Adds network cuts of 20 s; full disks on some or all machines; lost answers to operators; monotonic clocks
+that differ and jump ahead (never back, whatever the wall clock does); and machines that also serve traffic
+and exhaust their CPU quota again and again. The orders of all operators are checked as one history.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 LENGTH_S = 20.0
 LONG_CUT_S = 20.0
 LONG_CUT_PROBABILITY = 0.35
-# A full disk refuses each write at once; the process learns of it at its next look at the disk.
+# A full disk refuses every write immediately; the process notices at its next check of the disk.
 FULL_DISK_NOTICED_AFTER_S = 0.25
 ANSWER_LOSS_PROBABILITY = 0.1
 MAX_CLOCK_OFFSET_S = 100_000.0
@@ -37,10 +36,10 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """Machines with a replica, how many may be lost at once, and whether they serve traffic too."""
+    """Number of machines, how many may be lost at once, and whether they also serve traffic."""
 
     machines: int
-    tolerated: int
+    tolerated_losses: int
     serves_traffic: bool = False
 
 
@@ -52,12 +51,14 @@
 
 
 class WorstDay(World):
-    """A world whose machines have clocks of their own, may lose answers and may have a quota of processor."""
+    """A world whose machines have their own clocks, lose some answers and may have a CPU quota."""
 
     def __init__(self, seed: object, shape: Shape, replica_type: Callable[..., Replica] = Replica):
         self.shape = shape
         self.quotas: dict[str, float] = {}
-        super().__init__(f"{seed} worst", shape.machines, machines=shape.tolerated, replica_type=replica_type)
+        super().__init__(
+            f"{seed} worst", shape.machines, machines=shape.tolerated_losses, replica_type=replica_type
+        )
 
     def add(self, host: str, zone: str, bootstrap: bool = False) -> Machine:
         machine = super().add(host, zone, bootstrap)
@@ -65,7 +66,7 @@
         return machine
 
     def _stalled_for_s(self, machine: Machine) -> float:
-        """How long a machine whose quota is spent does nothing from now on."""
+        """How long a machine with an exhausted quota is stalled from now on."""
         quota = self.quotas.get(machine.host)
         if quota is None:
             return 0.0
@@ -93,7 +94,7 @@
 
 
 class WorstFaults(FaultInjector):
-    """The faults of every schedule, and those of the worst days."""
+    """The faults of `FaultInjector` plus the more severe ones."""
 
     def __init__(self, world: WorstDay, until: float):
         super().__init__(world, until)
@@ -104,9 +105,9 @@
                 world.quotas[machine.host] = 0.5 + 0.5 * self.random.random()
 
     def faults(self) -> tuple[Callable[[], None], ...]:
-        more = (self._full_disks, self._all_disks_full, self._jump_clocks)
+        more = (self._fill_some_disks, self._fill_all_disks, self._jump_clocks)
         if self.world.shape.serves_traffic:
-            more = (*more, self._quota_spent, self._quota_spent)
+            more = (*more, self._exhaust_quotas, self._exhaust_quotas)
         return (*super().faults(), *more)
 
     def _long_cut(self) -> None:
@@ -118,11 +119,11 @@
         self.world.cuts |= pairs
         self.world.at(self.world.now + LONG_CUT_S, self.world.reconnect, pairs)
 
-    def _full_disks(self) -> None:
+    def _fill_some_disks(self) -> None:
         for machine in self._random_machines():
             self._stall_disk(machine, self._fault_duration_s(), FULL_DISK_NOTICED_AFTER_S)
 
-    def _all_disks_full(self) -> None:
+    def _fill_all_disks(self) -> None:
         for machine in self.world.machines.values():
             self._stall_disk(machine, self._fault_duration_s(), FULL_DISK_NOTICED_AFTER_S)
 
@@ -130,20 +131,20 @@
         for machine in self._random_machines():
             machine.clock_offset_s += self.random.random() * MAX_CLOCK_JUMP_S
 
-    def _quota_spent(self) -> None:
+    def _exhaust_quotas(self) -> None:
         for machine in self._random_machines():
-            usual = self.world.quotas.get(machine.host, 1.0)
+            previous = self.world.quotas.get(machine.host, 1.0)
             self.world.quotas[machine.host] = 0.05 + 0.3 * self.random.random()
-            self.world.at(self.world.now + self._fault_duration_s(), self._set_quota, machine, usual)
+            self.world.at(self.world.now + self._fault_duration_s(), self._set_quota, machine, previous)
 
     def _set_quota(self, machine: Machine, quota: float) -> None:
         self.world.quotas[machine.host] = quota
 
 
 def run_worst_day(seed: object, shape: Shape, replica_type: Callable[..., Replica] = Replica) -> list[str]:
-    """Play the schedule of a seed; what did not hold of it.
+    """Play the schedule of a seed; returns the violations.
 
-    After the troubles everything has to be settled within `SETTLE_S`; the play ends as soon as it is.
+    After the faults everything has to be settled within `SETTLE_S`; the run ends as soon as it is.
     """
     world = WorstDay(seed, shape, replica_type)
     clients = [Client(world, f"c{number}", LENGTH_S + LONG_CUT_S + SETTLE_S) for number in range(3)]
@@ -170,5 +171,5 @@
 def _unfinished(world: WorstDay, clients: list[Client], before: int) -> list[str]:
     found = settled(world)
     if not found and sum(client.answer_count for client in clients) == before:
-        found.append("no order was answered after the troubles")
+        found.append("no order was answered after the faults ended")
     return found
--- a/tests/system/exploring_replicas.py
+++ b/tests/system/exploring_replicas.py
@@ -1,7 +1,7 @@
-"""Local states of replicas and what events lead to, worked out once and remembered.
+"""Memoized transitions of single replicas, for the state-space exploration of the whole system.
 
-The same thing happens to a replica in many states of the whole system. Local states, messages and moves are
-numbered, so that a state of the system is a tuple of small numbers.
+The same event reaches a replica in the same local state in many global states. Local states, messages and
+transitions are numbered, so that a global state is a tuple of small numbers.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class CountingRandom:
-    """In place of a random source: its draws differ and are the same on each way to a state."""
+    """Replaces the random source: draws are distinct, and the same on every path to a state."""
 
     def __init__(self, draw_count: int) -> None:
         self.draw_count = draw_count
@@ -55,7 +55,7 @@
 
 
 class ExploredReplica(Replica):
-    """A replica that takes part in every election."""
+    """A replica that votes in every election, even if it still hears the primary."""
 
     def _hears_primary(self, now, sender, message) -> bool:
         return False
@@ -63,7 +63,7 @@
 
 @dataclass
 class LocalState:
-    """A replica with its disk, as it is pickled."""
+    """A replica and its disk, in the form that is pickled."""
 
     replica: Replica
     durable: DurableState
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class View:
-    """What may happen to a replica, and what it shows. `ballot` is that of its own proposal."""
+    """The properties of a local state: which events are possible, and what invariants depend on."""
 
     info: ReplicaInfo
     incarnation: int
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Transition:
-    """What one event leads to at one replica: its next state, messages by host number, and answers."""
+    """The result of one event at one replica: its next state, messages by host number, and answers."""
 
     next_state: int
     sends: tuple[tuple[int, int], ...]
@@ -100,7 +100,7 @@
 
 
 class ReplicaStates:
-    """Numbers local states and messages, and works out moves."""
+    """Numbers local states and messages, and computes transitions."""
 
     def __init__(self, hosts: list[str], replica_type: Callable[..., Replica]):
         self.hosts = hosts
@@ -114,18 +114,18 @@
         self._deliveries: dict[tuple[int, int, int], Transition] = {}
 
     def start_replica(self, info: ReplicaInfo, durable: DurableState, incarnation: int) -> int:
-        """The number of a replica that has just been started."""
+        """The number of the local state of a newly started replica."""
         return self._remember(self._start(info, durable, incarnation))
 
     def apply_event(self, number: int, event: Event) -> Transition:
-        """What an event leads to."""
+        """The transition that an event causes."""
         key = (number, repr(event))
         if key not in self._moves:
             self._moves[key] = self._compute_transition(pickle.loads(self._packed[number]), event)
         return self._moves[key]
 
     def deliver(self, number: int, sender: int, message: int) -> Transition:
-        """What a message leads to; senders are told apart by their local states."""
+        """The transition that a message causes; the sender is identified by its local state."""
         key = (number, sender, message)
         if key not in self._deliveries:
             event = ("receive", self.views[sender].info, self.messages[message])
@@ -133,10 +133,10 @@
         return self._deliveries[key]
 
     def is_obsolete(self, number: int, sender: int, message: int) -> bool:
-        """Whether a message changes nothing at its receiver, now or whenever it comes.
+        """Whether a message has no effect at its receiver, now or at any later time.
 
-        Votes of a ballot that is over, and acknowledgements of an epoch or a sequence that is: epochs,
-        sequences and ballots only rise while a process lives, and its links end with it.
+        This holds for votes in a ballot that has ended and for acknowledgements of a past epoch or sequence:
+        epochs, sequences and ballots only increase while a process runs, and its links end with it.
         """
         content = self.messages[message]
         if isinstance(content, (RecordStored, Appended, HeartbeatAck)):
@@ -156,7 +156,7 @@
         return number
 
     def is_heartbeat(self, message: int) -> bool:
-        """Whether it is a heartbeat or the answer to one, of which the latest stands for those before."""
+        """Whether it is a heartbeat or its answer; only the latest on a link is kept."""
         return isinstance(self.messages[message], (Heartbeat, HeartbeatAck))
 
     def _remember(self, local: LocalState) -> int:
@@ -175,7 +175,7 @@
         return LocalState(replica, durable, incarnation)
 
     def _compute_transition(self, local: LocalState, event: Event) -> Transition:
-        """Apply an event and carry out what follows; writes are synced before anything is sent."""
+        """Apply an event and execute its effects; writes are synced before anything is sent."""
         local = self._apply(local, event)
         replica, sends, answers = local.replica, [], []
         effects = replica.take_effects()
@@ -198,15 +198,15 @@
         match event:
             case ("receive", sender, message):
                 replica.receive(START_S, sender, message)
-            case ("stand",):
+            case ("elect",):
                 replica._start_election(START_S)
-            case ("go on",):
+            case ("enter second phase",):
                 replica._enter_second_phase(START_S)
             case ("order", call_id, order):
                 replica.submit(START_S, call_id, order)
             case ("read", call_id):
                 replica.read(START_S, call_id)
-            case ("beat",):
+            case ("heartbeat",):
                 replica.primary.heartbeat(START_S)
             case ("drop", name):
                 replica.primary.peers[name].heard_at = NEVER
@@ -249,7 +249,7 @@
 
 
 def _durable_key(durable: DurableState) -> tuple:
-    """Equal for equal contents, in whatever order they were written."""
+    """A key that is equal for equal contents, regardless of the order in which they were written."""
     state = durable.state
     return durable.acceptor, durable.epoch, state.sequence, sorted(state.entries.items())
 
--- a/tests/system/order_history.py
+++ b/tests/system/order_history.py
@@ -1,9 +1,9 @@
-"""Whether the answers that operators got fit one order of events.
+"""Linearizability check of the answers that operators received.
 
-The configuration is a register that is replaced by compare-and-set: an order puts a generation on top of an
-expected one. Every try of every order is an operation with its interval: acknowledged, refused, or unclear,
-when it may take effect at any time from its beginning on. Reads and evacuations count alike. Times are in
-seconds of one clock.
+The configuration is a compare-and-set register: an order replaces an expected generation with a new one.
+Every attempt of an order is an operation with an interval and an answer: acknowledged, refused, or unclear,
+in which case it may take effect at any time after it began. Reads and evacuations are checked as well. Times
+are seconds of one clock.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Answer(Enum):
-    """What a caller was told."""
+    """The answer that a caller received."""
 
     ACKNOWLEDGED = auto()
     REFUSED = auto()
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Put:
-    """One try of an order: the body `name` as `generation` on top of `expected`."""
+    """One attempt of an order: the body `name` as `generation` on top of generation `expected`."""
 
     name: str
     expected: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Read:
-    """A clear answer to a read: the body in force, empty before the first."""
+    """An answered read: the active body, empty before the first order."""
 
     name: str
     began: float
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Evacuation:
-    """One try of an order to evacuate a zone or to take that back."""
+    """One attempt of an order to start or end the evacuation of a zone."""
 
     zone: str
     evacuated: bool
@@ -56,7 +56,7 @@
 
 @dataclass
 class Interval:
-    """When an order may have taken effect."""
+    """The time span in which an order may have taken effect."""
 
     earliest: float
     latest: float = FOREVER
@@ -64,53 +64,53 @@
 
 @dataclass
 class History:
-    """All that was answered, in any order."""
+    """All operations and their answers, in any order."""
 
     puts: list[Put] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
     evacuations: list[Evacuation] = field(default_factory=list)
 
     def faults(self, final_evacuations: frozenset[str] | None = None) -> list[str]:
-        """What no order of events explains; `final_evacuations` are the zones in force after all calls."""
-        found = _Puts(self.puts, self.reads).faults()
+        """Answers that no linearization explains; `final_evacuations` are the evacuated zones at the end."""
+        found = _ConfigurationHistory(self.puts, self.reads).faults()
         if final_evacuations is not None:
             found += _evacuation_faults(self.evacuations, final_evacuations)
         return found
 
 
-class _Puts:
-    """The chain of configurations that were in force."""
+class _ConfigurationHistory:
+    """The sequence of configurations that were active."""
 
     def __init__(self, puts: list[Put], reads: list[Read]):
         self.reads = reads
-        self.tries: dict[str, list[Put]] = {}
+        self.attempts: dict[str, list[Put]] = {}
         for put in puts:
-            self.tries.setdefault(put.name, []).append(put)
+            self.attempts.setdefault(put.name, []).append(put)
         self.chain: list[Put] = []
 
     def faults(self) -> list[str]:
         try:
-            self.chain = self._chain()
-            return self._wrong_refusals() + self._wrong_times()
+            self.chain = self._build_chain()
+            return self._refused_but_active() + self._impossible_times()
         except ValueError as fault:
             return [str(fault)]
 
-    def _chain(self) -> list[Put]:
-        """The configurations known to have been in force, oldest first, and those that they were put on."""
-        needed = [name for name, tries in self.tries.items() if _acknowledged(tries)]
+    def _build_chain(self) -> list[Put]:
+        """The configurations known to have been active and their predecessors, oldest first."""
+        needed = [name for name, attempts in self.attempts.items() if _is_acknowledged(attempts)]
         needed += [read.name for read in self.reads if read.name]
         by_generation: dict[int, Put] = {}
         pending = list(dict.fromkeys(needed))
         while pending:
             name = pending.pop()
-            if name not in self.tries:
+            if name not in self.attempts:
                 raise ValueError(f"{name} was read, but nobody sent it")
-            put = self.tries[name][0]
+            put = self.attempts[name][0]
             known = by_generation.setdefault(put.generation, put)
             if known.name != name:
                 raise ValueError(f"{known.name} and {name} were both in force as {put.generation}")
             if put.expected:
-                pending += self._parents(put, by_generation)
+                pending += self._unconfirmed_parents(put, by_generation)
         chain = [by_generation[generation] for generation in sorted(by_generation)]
         for before, after in zip([None, *chain], chain, strict=False):
             if after.expected != (before.generation if before else 0):
@@ -119,25 +119,25 @@
                 )
         return chain
 
-    def _parents(self, put: Put, by_generation: dict[int, Put]) -> list[str]:
+    def _unconfirmed_parents(self, put: Put, by_generation: dict[int, Put]) -> list[str]:
         if put.expected in by_generation:
             return []
-        sent = {name for name, tries in self.tries.items() if tries[0].generation == put.expected}
+        sent = {name for name, attempts in self.attempts.items() if attempts[0].generation == put.expected}
         if not sent:
             raise ValueError(f"{put.name} was put on {put.expected}, which nobody sent")
-        # Where several were sent under that number and none was confirmed, any of them may have been it.
+        # If several were sent with that generation and none was confirmed, any of them may be the parent.
         return list(sent) if len(sent) == 1 else []
 
-    def _wrong_refusals(self) -> list[str]:
-        in_force = {put.name for put in self.chain}
+    def _refused_but_active(self) -> list[str]:
+        active = {put.name for put in self.chain}
         return [
             f"{put.name} was refused and in force"
-            for tries in self.tries.values()
-            for put in tries
-            if put.answer is Answer.REFUSED and put.name in in_force
+            for attempts in self.attempts.values()
+            for put in attempts
+            if put.answer is Answer.REFUSED and put.name in active
         ]
 
-    def _wrong_times(self) -> list[str]:
+    def _impossible_times(self) -> list[str]:
         intervals = {put.name: self._interval(put.name) for put in self.chain}
         position = {put.name: number for number, put in enumerate(self.chain)}
         for read in self.reads:
@@ -157,17 +157,17 @@
         return []
 
     def _interval(self, name: str) -> Interval:
-        tries = self.tries[name]
-        acknowledged = [put.ended for put in tries if put.answer is Answer.ACKNOWLEDGED]
-        return Interval(min(put.began for put in tries), min(acknowledged, default=FOREVER))
+        attempts = self.attempts[name]
+        acknowledged = [put.ended for put in attempts if put.answer is Answer.ACKNOWLEDGED]
+        return Interval(min(put.began for put in attempts), min(acknowledged, default=FOREVER))
 
 
-def _acknowledged(tries: list[Put]) -> bool:
-    return any(put.answer is Answer.ACKNOWLEDGED for put in tries)
+def _is_acknowledged(attempts: list[Put]) -> bool:
+    return any(put.answer is Answer.ACKNOWLEDGED for put in attempts)
 
 
 def _evacuation_faults(evacuations: list[Evacuation], final: frozenset[str]) -> list[str]:
-    """The last acknowledged order of a zone must be in force, unless an opposite one may have come after."""
+    """The last acknowledged order of a zone must be in effect unless an opposite one may have followed it."""
     found = []
     for zone in sorted({order.zone for order in evacuations}):
         orders = [order for order in evacuations if order.zone == zone]
--- a/tests/system/test_budgets_retries.py
+++ b/tests/system/test_budgets_retries.py
@@ -14,7 +14,7 @@
     """The budget of an agent of `members` that a roster grants, as it just was confirmed."""
     lease = ShareLease("a0", started_at)
     names = tuple(f"a{number}" for number in range(members))
-    lease.use(Roster(names, frozenset(names)))
+    lease.update_roster(Roster(names, frozenset(names)))
     lease.age_s = lambda: 0.0
     return RetryBudget(TERMS, LeasedShare(lease, TERMS.window_s + TERMS.window_margin_s, EqualShare()))
 
--- a/tests/system/test_control_catching_up.py
+++ b/tests/system/test_control_catching_up.py
@@ -1,4 +1,4 @@
-"""Replicas that were dark through many changes, while changes go on."""
+"""Replicas that were down during many changes catch up while further changes are made."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 
 class Stream:
-    """Orders one after the other without a pause, or evacuations begun and ended."""
+    """A continuous stream of orders, or of evacuations that start and end."""
 
     def __init__(self, world: World, zone: str = ""):
         self.world, self.zone = world, zone
         self.count = 0
         self.running = True
-        self._begin()
+        self._submit_next()
 
-    def _begin(self) -> None:
+    def _submit_next(self) -> None:
         if not self.running:
             return
         leading = [machine for machine in self.world.running() if machine.replica.primary is not None]
         if not leading:
-            self.world.at(self.world.now + 0.05, self._begin)
+            self.world.at(self.world.now + 0.05, self._submit_next)
             return
-        self.world.submit(leading[-1], self._command(leading[-1].replica), self._told)
+        self.world.submit(leading[-1], self._command(leading[-1].replica), self._on_answer)
 
     def _command(self, replica: Replica) -> PutConfiguration | SetEvacuation:
         if self.zone:
@@ -44,10 +44,10 @@
         body = b"%d" % version * BODY_BYTES
         return PutConfiguration(version, version + 1, b"o%d" % version, body[:BODY_BYTES])
 
-    def _told(self, result: object) -> None:
+    def _on_answer(self, result: object) -> None:
         if result is Outcome.ACCEPTED:
             self.count += 1
-        self.world.at(self.world.now + 0.001, self._begin)
+        self.world.at(self.world.now + 0.001, self._submit_next)
 
 
 def streams(world: World) -> list[Stream]:
@@ -77,22 +77,22 @@
 
 
 @pytest.mark.parametrize("extra_delay_s", [0.0, 0.06, 0.15])
-@pytest.mark.parametrize("dark_s", [1.5, 8.0])
+@pytest.mark.parametrize("down_s", [1.5, 8.0])
 @pytest.mark.parametrize("seed", range(2))
-def test_a_restarted_replica_catches_up_while_changes_go_on_without_a_pause(seed, dark_s, extra_delay_s):
+def test_a_restarted_replica_catches_up_while_changes_go_on_without_a_pause(seed, down_s, extra_delay_s):
     world = world_of(seed)
     machine = backup_of(world)
     world.extra_delay_by_host[machine.host] = extra_delay_s
     running = streams(world)
     world.run(world.now + 1.0)
     world.crash(machine)
-    world.run(world.now + dark_s)
+    world.run(world.now + down_s)
     assert not in_sync(world, machine)
     before = sum(stream.count for stream in running)
     world.start(machine)
     began = world.now
     while not in_sync(world, machine):
-        assert world.now < began + 4.0, "it has not caught up"
+        assert world.now < began + 4.0, "the replica has not caught up"
         world.run(world.now + 0.01)
     world.run(world.now + 1.0)
     assert in_sync(world, machine)
@@ -101,8 +101,8 @@
     assert settled(world) == []
 
 
-def dark_through_changes(seed: object, replica_type: type = Replica) -> tuple[World, Machine, list[Stream]]:
-    """A backup that was dark while hundreds of changes were made, and is about to come back."""
+def down_during_changes(seed: object, replica_type: type = Replica) -> tuple[World, Machine, list[Stream]]:
+    """A backup that was down while hundreds of changes were made, and is about to restart."""
     world = world_of(seed, replica_type)
     machine = backup_of(world)
     world.crash(machine)
@@ -113,17 +113,17 @@
     return world, machine, running
 
 
-def takes_over_ranges(machine: Machine) -> bool:
+def is_replacing_ranges(machine: Machine) -> bool:
     return any(isinstance(write, SaveRanges) for _, write in machine.disk.unsynced)
 
 
 def killed_while_catching_up(seed: int, replica_type: type = Replica) -> list[str]:
-    """What does not hold after a replica was killed again and again while it was taking over ranges."""
-    world, machine, running = dark_through_changes(seed, replica_type)
+    """What doesn't hold after a replica was killed repeatedly while it was replacing ranges."""
+    world, machine, running = down_during_changes(seed, replica_type)
     for _ in range(6):
         world.start(machine)
         until = world.now + 1.0
-        while world.now < until and not takes_over_ranges(machine):
+        while world.now < until and not is_replacing_ranges(machine):
             world.run(world.now + 0.001)
         world.crash(machine)
         world.run(world.now + 0.2)
@@ -138,36 +138,36 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_one_that_is_killed_while_it_takes_over_ranges(seed):
+def test_a_replica_that_is_killed_while_it_replaces_ranges(seed):
     assert killed_while_catching_up(seed) == []
 
 
-class HalfRanges(Replica):
-    """A replica that saves ranges in two writes, of which the first tells already that all is there."""
+class SavesRangesInTwoWrites(Replica):
+    """A replica that saves ranges in two writes, of which the first already claims to be complete."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
         write = self.outbox.write
 
-        def write_in_halves(wanted):
+        def write_in_two_parts(wanted):
             if isinstance(wanted, SaveRanges) and len(wanted.entries) > 1:
                 half = wanted.entries[: len(wanted.entries) // 2]
                 write(SaveRanges(wanted.epoch, wanted.sequence, wanted.removed, half))
             return write(wanted)
 
-        self.outbox.write = write_in_halves
+        self.outbox.write = write_in_two_parts
 
 
-def test_ranges_that_are_half_taken_over_are_caught():
-    assert any(killed_while_catching_up(seed, HalfRanges) for seed in range(8))
+def test_partly_replaced_ranges_are_detected():
+    assert any(killed_while_catching_up(seed, SavesRangesInTwoWrites) for seed in range(8))
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_whose_disk_fails_while_it_catches_up(seed):
-    world, machine, running = dark_through_changes(seed)
+def test_a_replica_whose_disk_fails_while_it_catches_up(seed):
+    world, machine, running = down_during_changes(seed)
     world.start(machine)
     world.run(world.now + 0.1)
-    machine.disk.fails_until = world.now + 3.0
+    machine.disk.failing_until = world.now + 3.0
     world.set_storage(machine, machine.incarnation, False)
     world.run(world.now + 2.9)
     assert not in_sync(world, machine)
@@ -181,10 +181,10 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_what_is_kept_and_sent_for_one_that_writes_nothing_is_bounded(seed):
+def test_memory_and_traffic_for_a_replica_that_writes_nothing_are_bounded(seed):
     world = world_of(seed)
     machine = backup_of(world)
-    machine.disk.hangs_until = float("inf")
+    machine.disk.hanging_until = float("inf")
     sent = []
     transmit = world._transmit
 
@@ -204,7 +204,7 @@
     assert len(machine.waiting_sends) < 16 * WINDOW_CHANGES
 
 
-def test_orders_beyond_what_may_wait_are_refused_for_the_moment():
+def test_orders_beyond_the_uncommitted_limit_are_unavailable():
     world = world_of("many")
     primary = world.primary()
     for machine in world.running():
@@ -220,10 +220,10 @@
     assert settled(world) == []
 
 
-# The log of a primary
+# The primary's change log
 
 
-def test_the_log_keeps_the_latest_changes_within_its_bounds():
+def test_the_change_log_keeps_the_latest_changes_within_its_bounds():
     log = ChangeLog(max_changes=3, max_bytes=10_000)
     for sequence in range(5, 10):
         log.append(sequence, (Change("k", b"%d" % sequence),))
@@ -236,7 +236,7 @@
 
 
 @given(st.lists(st.integers(0, 400), max_size=60))
-def test_the_log_never_keeps_more_bytes_than_its_bound(sizes):
+def test_the_change_log_never_keeps_more_bytes_than_its_bound(sizes):
     log = ChangeLog(max_changes=20, max_bytes=2000)
     for sequence, size in enumerate(sizes):
         log.append(sequence, (Change("key", b"x" * size),))
--- a/tests/system/test_control_cuts.py
+++ b/tests/system/test_control_cuts.py
@@ -1,7 +1,7 @@
-"""Core machines that are cut off for twenty seconds: what they answer fits one order of events.
+"""Network partitions of the core for twenty seconds: the answers to operators stay linearizable.
 
-Operators go on at every machine on either side. The cut is whole, or lets messages out or in only, or goes
-through the middle of the core; the primary is cut off, or a backup, and more than once.
+Operators send orders to machines on both sides. The partition is complete, or lets messages pass in one
+direction only, or splits the core in half; it isolates the primary or a backup, and happens twice.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 def pairs_between(world: World, cut_off: set[str], how: str) -> set[tuple[str, str]]:
-    """The ways that are cut around some hosts."""
+    """The directed links to cut in order to isolate some hosts."""
     others = world.machines.keys() - cut_off
     inward = {(host, name) for host in others for name in cut_off}
     outward = {(name, host) for host in others for name in cut_off}
     return {WHOLE: inward | outward, OUT_ONLY: inward, IN_ONLY: outward}[how]
 
 
-def chosen(world: World, whom: str) -> set[str]:
+def hosts_to_isolate(world: World, whom: str) -> set[str]:
     leading = [machine.host for machine in world.running() if machine.replica.primary is not None]
     following = [machine.host for machine in world.running() if machine.replica.primary is None]
     if whom == "primary":
@@ -42,7 +42,7 @@
     clients = [Client(world, f"c{n}", BEGIN_S + 2 * CUT_S + SETTLE_S) for n in range(4)]
     for began in (BEGIN_S, BEGIN_S + CUT_S):
         world.run(began)
-        pairs = pairs_between(world, chosen(world, whom), how)
+        pairs = pairs_between(world, hosts_to_isolate(world, whom), how)
         world.cuts |= pairs
         world.run(began + CUT_S - 1.0)
         world.reconnect(pairs)
@@ -68,7 +68,7 @@
 
 
 class ReadsUnconfirmed(Replica):
-    """A primary that answers reads without asking the others."""
+    """A primary that answers reads without confirmation from the other replicas."""
 
     def _become_primary(self, now, record, earlier):
         super()._become_primary(now, record, earlier)
@@ -81,7 +81,7 @@
 
 
 class RefusesUnconfirmed(Replica):
-    """A primary that refuses orders by its own state without asking the others."""
+    """A primary that refuses orders based on its own state without confirmation from the other replicas."""
 
     def _become_primary(self, now, record, earlier):
         super()._become_primary(now, record, earlier)
@@ -94,5 +94,5 @@
 
 
 @pytest.mark.parametrize("replica_type", [ReadsUnconfirmed, RefusesUnconfirmed])
-def test_a_primary_that_answers_alone_is_caught(replica_type):
+def test_a_primary_that_answers_unconfirmed_is_detected(replica_type):
     assert any(play(seed, "primary", WHOLE, replica_type=replica_type) for seed in range(6))
--- a/tests/system/test_control_exploring.py
+++ b/tests/system/test_control_exploring.py
@@ -1,4 +1,4 @@
-"""Interleavings of three replicas within bounds, and that planted faults show in them."""
+"""Bounded model checking of replicas, and planted faults that it must detect."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.system.exploring_replicas import ExploredReplica
 from tests.system.vector_exploring import VectorExplorer
 
-STATES = 4000
+MAX_STATES = 4000
 MAX_MEMORY_MB = 4000.0
 BOUNDS = [
     Bounds(elections=1, orders=1),
@@ -31,8 +31,8 @@
     Bounds(elections=1, orders=1, leaves=1),
     Bounds(elections=0, orders=1, leaves=1, count=4),
 ]
-# Seen whole by the tests; the others up to STATES, and whole by `experiments/control_bounds.py`.
-WHOLE = [
+# Explored completely here; the others up to MAX_STATES, and completely by `experiments/control_bounds.py`.
+COMPLETE = [
     Bounds(elections=1, orders=0),
     Bounds(elections=0, orders=1, crashes=1),
     Bounds(elections=0, orders=1, wipes=1),
@@ -40,28 +40,28 @@
 
 
 @pytest.mark.parametrize("bounds", BOUNDS, ids=repr)
-def test_no_interleaving_breaks_a_promise(bounds):
-    found = Explorer(Bounds(**{**vars(bounds), "states": STATES})).explore()
+def test_no_interleaving_violates_an_invariant(bounds):
+    found = Explorer(Bounds(**{**vars(bounds), "states": MAX_STATES})).explore()
     assert found.violation == "", found.path
-    assert found.complete or found.states >= STATES
+    assert found.complete or found.states >= MAX_STATES
 
 
-@pytest.mark.parametrize("bounds", WHOLE, ids=repr)
-def test_no_interleaving_within_a_bound_breaks_a_promise(bounds):
+@pytest.mark.parametrize("bounds", COMPLETE, ids=repr)
+def test_no_interleaving_within_complete_bounds_violates_an_invariant(bounds):
     found = Explorer(bounds).explore()
     assert found.violation == "", found.path
     assert found.complete
 
 
-@pytest.mark.parametrize("bounds", [*WHOLE, Bounds(elections=0, orders=1, beats=1, resets=1)], ids=repr)
-def test_many_states_at_a_time_are_the_same_states(bounds):
+@pytest.mark.parametrize("bounds", [*COMPLETE, Bounds(elections=0, orders=1, beats=1, resets=1)], ids=repr)
+def test_the_vectorized_explorer_sees_the_same_states(bounds):
     one_by_one = Explorer(bounds).explore()
     assert VectorExplorer(bounds).explore(MAX_MEMORY_MB) == one_by_one
     assert one_by_one.complete
 
 
 class ActsAfterRestart(ExploredReplica):
-    """A primary that goes on in its epoch after a restart."""
+    """A primary that continues in its epoch after a restart."""
 
     def __init__(self, info, durable, timing, tolerance, random, now):
         super().__init__(info, durable, timing, tolerance, random, now)
@@ -81,7 +81,7 @@
 
 
 class DecidesAlone(ExploredReplica):
-    """A proposer that takes the first acceptance for a majority."""
+    """A proposer that treats the first acceptance as a majority."""
 
     def _on_vote(self, now, sender, message):
         if isinstance(message, Accepted) and self.proposer is not None:
@@ -90,7 +90,7 @@
 
 
 class IgnoresAccepted(ExploredReplica):
-    """A proposer that proposes its own record though another was accepted before."""
+    """A proposer that proposes its own record although another was accepted before."""
 
     def _on_vote(self, now, sender, message):
         if isinstance(message, Promise):
@@ -99,7 +99,7 @@
 
 
 class EndsWithoutAgreement(ExploredReplica):
-    """A process that ends before an epoch without it is stored."""
+    """A process that exits before an epoch without it is stored."""
 
     @property
     def may_end(self) -> bool:
@@ -118,13 +118,13 @@
 @pytest.mark.parametrize(
     ("replica_type", "bounds"), PLANTED, ids=lambda value: getattr(value, "__name__", "")
 )
-def test_a_planted_fault_shows(replica_type, bounds):
+def test_a_planted_fault_is_detected(replica_type, bounds):
     bounds = Bounds(**{**vars(bounds), "states": 30_000})
     assert Explorer(bounds, replica_type).explore().violation
 
 
-class SyncsNothing(ExploredReplica):
-    """A backup that acknowledges what it has not written."""
+class AcknowledgesUnwritten(ExploredReplica):
+    """A backup that acknowledges changes that it has not written."""
 
     def _on_replication(self, sender, message):
         if isinstance(message, Append) and message.epoch == self.record.epoch:
@@ -134,14 +134,14 @@
 
 
 class KeepsIdentity(ExploredReplica):
-    """A machine that lost its disk and votes under its earlier identity."""
+    """A machine that lost its disk and still votes under its previous identity."""
 
     def __init__(self, info, durable, *arguments):
         super().__init__(msgspec.structs.replace(info, replica_id=f"{info.host}-seed"), durable, *arguments)
 
 
-# Faults found within each of the large bounds (one election, one order and one loss), or in the part of one
-# without an order.
+# Faults to detect within each of the large bounds (one election, one order and one loss), or within the same
+# bounds without an order.
 PROPERTIES = {
     "one record an epoch, drops": (DecidesAlone, Bounds(elections=1, orders=0, drops=1)),
     "one record an epoch, leaves": (DecidesAlone, Bounds(elections=1, orders=0, leaves=1)),
@@ -150,28 +150,28 @@
 for _name, _losses in (("lost disks", {"wipes": 1}), ("drops", {"drops": 1}), ("leaves", {"leaves": 1})):
     _bounds = Bounds(elections=1, orders=1, **_losses)
     PROPERTIES[f"acknowledged orders stay, {_name}"] = (CommitsAlone, _bounds)
-    PROPERTIES[f"acknowledged orders are on the disks, {_name}"] = (SyncsNothing, _bounds)
+    PROPERTIES[f"acknowledged orders are on the disks, {_name}"] = (AcknowledgesUnwritten, _bounds)
 
 
 @pytest.mark.parametrize(("replica_type", "bounds"), PROPERTIES.values(), ids=PROPERTIES)
-def test_a_planted_fault_shows_within_each_large_bound(replica_type, bounds):
+def test_a_planted_fault_is_detected_within_each_large_bound(replica_type, bounds):
     bounds = Bounds(**{**vars(bounds), "states": 400_000})
     assert VectorExplorer(bounds, replica_type).explore(MAX_MEMORY_MB).violation
 
 
-def test_a_number_of_voters_that_stays_even_shows(monkeypatch):
+def test_keeping_an_even_number_of_voters_is_detected(monkeypatch):
     monkeypatch.setattr(epoch_membership, "_drop_spare_voter", lambda voters, *others: tuple(voters))
     bounds = Bounds(elections=0, orders=0, leaves=1, count=4, states=30_000)
     assert "no majority" in Explorer(bounds).explore().violation
 
 
-def test_the_planted_faults_override_what_runs():
+def test_the_planted_faults_override_existing_methods():
     assert all(hasattr(Replica, name) for name in ("_become_primary", "_on_vote"))
     assert hasattr(Primary, "required_peers")
 
 
-def test_a_state_is_the_same_in_whatever_order_it_was_written():
-    """Else the number of states would hang on the order in which Python's hashes have the entries."""
+def test_the_state_key_does_not_depend_on_the_order_of_writes():
+    """Otherwise the number of states would depend on the iteration order of Python's hashes."""
     replicas = VectorExplorer(Bounds()).replicas
     info = ReplicaInfo("h0-seed", "h0", "z0", "r", "")
     entries = [(f"accepted/{number}", bytes([number])) for number in range(40)]
--- a/tests/system/test_control_failover_time.py
+++ b/tests/system/test_control_failover_time.py
@@ -1,7 +1,7 @@
 """How long orders wait for an acknowledgement when core machines fail, in simulated time.
 
-A bound is what the timing accounts for: silence is noticed after `silence_s`, the candidates' turns and a
-ballot follow. None leaves room for a second silence, which is what a dead replica that counts as live costs.
+The bounds follow from the protocol's timing: silence is detected after `silence_s`, then come the candidates'
+staggered turns and a ballot. No bound allows a second silence, the cost of a dead replica counted as live.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Operator:
-    """Sends one order to whoever takes itself for the primary, until it is acknowledged."""
+    """Sends one order to whichever machine considers itself the primary, until it is acknowledged."""
 
     def __init__(self, world: World):
         self.world = world
@@ -43,10 +43,10 @@
         if self.acknowledged_at is not None:
             return
         for machine in leading(self.world):
-            self.world.submit(machine, self.order, self._told)
+            self.world.submit(machine, self.order, self._on_answer)
         self.world.at(self.world.now + ATTEMPT_S, self._attempt)
 
-    def _told(self, result: object) -> None:
+    def _on_answer(self, result: object) -> None:
         if result is Outcome.ACCEPTED and self.acknowledged_at is None:
             self.acknowledged_at = self.world.now
 
@@ -84,7 +84,7 @@
 
 
 def primary_dies_while_it_takes_a_replica_in(world: World) -> None:
-    """Its proposal may be finished under its name; that is no sign of life."""
+    """Another replica may complete the dead primary's proposal, which must not count as hearing from it."""
     away = backups(world)[0]
     world.crash(away)
     world.run(world.now + 4.0)
@@ -100,7 +100,7 @@
 
 def backup_disk_hangs(world: World) -> None:
     backup = backups(world)[0]
-    backup.disk.hangs_until = world.now + LIMIT_S
+    backup.disk.hanging_until = world.now + LIMIT_S
     world.at(world.now + 0.9, world.set_storage, backup, backup.incarnation, False)
 
 
@@ -121,20 +121,22 @@
 ]
 
 
-def longest_wait(strike: Callable[[World], None], count: int) -> float:
+def longest_wait(inject_fault: Callable[[World], None], count: int) -> float:
     waits = []
     for seed in SEEDS:
         world = calm_world(seed, count)
-        strike(world)
+        inject_fault(world)
         waits.append(Operator(world).wait(world.now))
         assert world.violations == []
     return max(waits)
 
 
 @pytest.mark.parametrize("count", [3, 5])
-@pytest.mark.parametrize(("strike", "bound_s"), FAILURES, ids=[strike.__name__ for strike, _ in FAILURES])
-def test_an_order_is_acknowledged_within_one_silence(strike, bound_s, count):
-    assert longest_wait(strike, count) < bound_s
+@pytest.mark.parametrize(
+    ("inject_fault", "bound_s"), FAILURES, ids=[inject_fault.__name__ for inject_fault, _ in FAILURES]
+)
+def test_an_order_is_acknowledged_within_one_silence(inject_fault, bound_s, count):
+    assert longest_wait(inject_fault, count) < bound_s
 
 
 def restarted(world: World) -> Machine:
@@ -152,6 +154,6 @@
 
 @pytest.mark.parametrize("count", [3, 5])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_list_may_be_read_as_soon_as_a_primary_acts_after_all_were_killed(seed, count):
+def test_the_acting_primary_may_read_the_list_at_once_after_all_were_killed(seed, count):
     primary = restarted(calm_world(seed, count)).replica
     assert primary.is_reader
--- a/tests/system/test_control_node.py
+++ b/tests/system/test_control_node.py
@@ -1,4 +1,4 @@
-"""The replicas of the control state on real loopback sockets and disks."""
+"""Replicas of the control state on real loopback sockets and disks."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
         return self._ask_primary(lambda primary: primary.read(1.0))
 
     def _ask_primary(self, ask):
-        """As callers do: a primary whose next epoch is not stored yet is unavailable for the moment."""
+        """Retry as callers do: a primary whose epoch isn't stored yet is temporarily unavailable."""
         with gevent.Timeout(PATIENCE_S):
             while True:
                 try:
@@ -116,8 +116,8 @@
         assert cluster.submit(order(0, 5)) is Outcome.ACCEPTED
         assert cluster.read().configuration == b'{"generation":5}'
         await_that(lambda: all(node.state.generation == 5 for node in cluster.nodes.values()))
-        named = Address(cluster.primary().settings.ip, 9000)
-        await_that(lambda: all(node.primary_address == named for node in cluster.nodes.values()))
+        expected_address = Address(cluster.primary().settings.ip, 9000)
+        await_that(lambda: all(node.primary_address == expected_address for node in cluster.nodes.values()))
 
 
 def test_a_resent_order_is_acknowledged_again_and_another_on_the_same_version_conflicts(tmp_path):
@@ -127,7 +127,7 @@
         assert cluster.submit(order(0, 6)) is Outcome.CONFLICT
 
 
-def test_a_backup_names_the_primary_instead_of_deciding(tmp_path):
+def test_a_backup_refers_to_the_primary_instead_of_deciding(tmp_path):
     with cluster_in(tmp_path) as cluster:
         primary = cluster.primary()
         backup = next(node for node in cluster.nodes.values() if node is not primary)
@@ -138,7 +138,7 @@
         assert raised.value.peer == f"{primary.settings.ip}:9000"
 
 
-def test_after_a_crash_of_the_primary_another_serves_what_was_acknowledged(tmp_path):
+def test_after_the_primary_crashes_another_serves_what_was_acknowledged(tmp_path):
     with cluster_in(tmp_path) as cluster:
         cluster.submit(order(0, 5))
         cluster.crash(cluster.primary().settings.ip)
@@ -157,7 +157,7 @@
         assert cluster.read().generation == 5
 
 
-def test_a_replica_with_an_empty_disk_takes_the_place_of_its_earlier_self(tmp_path):
+def test_a_replica_with_an_empty_disk_replaces_its_previous_identity(tmp_path):
     with cluster_in(tmp_path) as cluster:
         cluster.submit(order(0, 5))
         host = next(host for host in HOSTS if not cluster.nodes[host].is_primary)
--- a/tests/system/test_control_on_edges.py
+++ b/tests/system/test_control_on_edges.py
@@ -1,4 +1,4 @@
-"""A whole system without core machines: edge machines with a disk have a replica beside their data plane."""
+"""A system without core machines: edge machines with a disk run a replica alongside their data plane."""
 
 from dataclasses import dataclass, replace
 from http import HTTPMethod
@@ -26,24 +26,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EdgesAlone(Layout):
+class EdgesOnly(Layout):
     """Machines of one class: the first three have a disk and both roles."""
 
     def edge_settings(self, number: int) -> Settings:
         """The settings of a data plane, on the machine of the replica of that number."""
-        settings = super(EdgesAlone, self).edge_settings(number)
+        settings = super(EdgesOnly, self).edge_settings(number)
         host = self.core_host(number)
         listen = msgspec.structs.replace(
             settings.listen,
             frontend=f"{host}:{int(Port.FRONTEND)}",
             readiness=f"{host}:{int(Port.READINESS)}",
         )
-        name = super(EdgesAlone, self).core_settings(number, Path(), False).node_name
+        name = super(EdgesOnly, self).core_settings(number, Path(), False).node_name
         return msgspec.structs.replace(settings, node_name=name, ip=host, listen=listen)
 
     def core_settings(self, number: int, folder: Path, bootstrap: bool, zone: Zone | None = None) -> Settings:
-        """The settings of the control process of an edge machine; that of the last one has no disk."""
-        settings = super(EdgesAlone, self).core_settings(number, folder, bootstrap, zone)
+        """The settings of the control process of an edge machine; the relay's machine has no disk."""
+        settings = super(EdgesOnly, self).core_settings(number, folder, bootstrap, zone)
         settings = msgspec.structs.replace(settings, machine_class="edge")
         if number < RELAY:
             return settings
@@ -54,14 +54,14 @@
     """The system with its relay, a configuration, and clients in each zone."""
 
     def __init__(self, folder: Path, number: int):
-        layout = EdgesAlone(Network.of_this_process(number), edges=3, bounds=Bounds(grace_s=2.0))
+        layout = EdgesOnly(Network.of_this_process(number), edges=3, bounds=Bounds(grace_s=2.0))
         self.system = SmallSystem(layout, folder, make_backends(layout, EngineSpeed(), EngineSpeed()))
         self.relay = self._make_relay(layout, folder)
         self.relay_host = layout.core_host(RELAY)
         self.through_relay = OperatorClient([Address(self.relay_host, Port.CONTROL_PLANE)], PATIENCE_S)
         self.clients = Traffic([], layout.directory_addresses).clients
 
-    def _make_relay(self, layout: EdgesAlone, folder: Path) -> SystemProcess:
+    def _make_relay(self, layout: EdgesOnly, folder: Path) -> SystemProcess:
         settings = layout.core_settings(RELAY, folder, bootstrap=True)
         path = folder / "relay.toml"
         write_settings(settings, path)
@@ -80,7 +80,7 @@
     def endings(self, kind) -> set[Ending]:
         return {client.ask(kind, subject).ending for client in self.clients for subject in range(2)}
 
-    def told_by_relay(self) -> list[str]:
+    def addresses_from_relay(self) -> list[str]:
         client = HttpClient(Address(self.relay_host, Port.DIRECTORY))
         zone = str(Zone.NORTH_1)
         answer = client.request(HTTPMethod.GET, f"/resolve?name=h&region=north&zone={zone}", 2.0)
@@ -118,11 +118,11 @@
     assert set(statuses) <= {0}
 
 
-def test_orders_and_look_ups_pass_through_a_machine_without_a_replica(running):
-    wait_until(lambda: len(running.told_by_relay()) >= 1, WITHIN_S, "the relay names data planes")
+def test_orders_and_lookups_pass_through_a_machine_without_a_replica(running):
+    wait_until(lambda: len(running.addresses_from_relay()) >= 1, WITHIN_S, "the relay names data planes")
     frontends = {str(address) for address in running.system.frontends()}
-    assert set(running.told_by_relay()) <= frontends
-    # Of one machine both processes are members, by names of their own.
+    assert set(running.addresses_from_relay()) <= frontends
+    # Both processes of a machine are members, each under its own name.
     wait_until(lambda: len(running.members()) == 7, WITHIN_S, "the primary has heard of all members")
     members = running.members()
     assert len({member.name for member in members}) == len(members) == 7
@@ -141,7 +141,7 @@
     running.wait_served()
 
 
-def test_a_machine_with_both_roles_is_lost_and_comes_back(running):
+def test_a_machine_with_both_roles_crashes_and_restarts(running):
     system = running.system
     primary = system.primary()
     number = system.cores.index(primary)
@@ -150,7 +150,7 @@
     changed = make_configuration(2, with_extra_route=True)
     assert running.through_relay.put_configuration(changed, 1).status == 200
     gone = str(system.frontends()[number])
-    wait_until(lambda: gone not in running.told_by_relay(), WITHIN_S, "the relay names it no more")
+    wait_until(lambda: gone not in running.addresses_from_relay(), WITHIN_S, "the relay no longer names it")
     assert running.through_relay.get_configuration().body == changed
 
     system.restart_cores()
@@ -161,7 +161,7 @@
     assert broken_rules([], running.clients, system.backends, [BRIEF, CARD, EXTRA]) == []
 
 
-def test_a_machine_with_both_roles_stands_still_and_goes_on(running):
+def test_a_machine_with_both_roles_is_frozen_and_resumes(running):
     system = running.system
     primary = system.primary()
     edge = system.edges[system.cores.index(primary)]
@@ -174,13 +174,13 @@
     finally:
         for process in (primary, edge):
             process.thaw()
-    # What it took itself for meanwhile counts no more: it follows, and its data plane has the new route.
+    # It must not act on its outdated view: it follows the new primary, and its data plane has the new route.
     wait_until(lambda: running.in_sync() == 3, WITHIN_S, "all replicas are in sync")
     wait_until(lambda: running.endings(EXTRA) == {Ending.SERVED}, WITHIN_S, "the new route is served")
     assert running.through_relay.get_configuration().body == changed
 
 
-def test_a_machine_that_loses_its_disk_is_filled_again(running):
+def test_a_machine_that_loses_its_disk_is_restored(running):
     system = running.system
     lost = next(core for core in system.cores if core is not system.primary())
     lost.kill()
@@ -193,7 +193,7 @@
 
 
 def test_the_layout_gives_both_roles_of_a_machine_one_name_and_one_address():
-    layout = EdgesAlone(Network("127.99.1"), edges=3)
+    layout = EdgesOnly(Network("127.99.1"), edges=3)
     control, data = layout.core_settings(0, Path("/x"), True), layout.edge_settings(0)
     assert (control.node_name, control.ip) == (data.node_name, data.ip)
     assert replace(layout, edges=2).edge_settings(1).ip == layout.core_host(1)
--- a/tests/system/test_control_plane_program.py
+++ b/tests/system/test_control_plane_program.py
@@ -1,4 +1,4 @@
-"""The process of a core machine: what its end stops."""
+"""The process of a core machine: what `stop` shuts down, and the core machines that it publishes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return plane
 
 
-def test_a_stopped_process_takes_no_more_calls_to_resolve(plane):
+def test_a_stopped_process_accepts_no_more_resolve_calls(plane):
     plane.registry.start()
     address = ("127.0.0.1", plane.registry.port)
     socket.create_connection(address, 5.0).close()
@@ -43,15 +43,15 @@
         getattr(plane, name).stop.assert_called_once_with()
 
 
-def test_a_process_without_a_registry_ends_as_well(plane):
+def test_a_process_without_a_registry_stops_as_well(plane):
     plane.registry = None
     plane.stop()
     plane.membership.stop.assert_called_once_with()
 
 
-def test_core_machines_are_told_under_the_epoch_that_has_them(plane):
-    # The heartbeat of an epoch may come later than its record: voters of one and number of the other would be
-    # two maps under one version.
+def test_core_machines_are_published_under_their_own_epoch(plane):
+    # The heartbeat of an epoch may arrive after its record: combining the voters of one epoch with the number
+    # of the other would publish two different maps under one version.
     for epoch, hosts in ((4, ("a", "b", "c")), (5, ("a", "b", "d"))):
         voters = tuple(ReplicaInfo(f"id-{host}", host, "z", "r") for host in hosts)
         plane.node.epoch_record = EpochRecord(epoch, "id-a", ("id-a", "id-b"), voters)
@@ -61,7 +61,7 @@
         assert {core.host for core in read_cores(plane.cores.entries)} == set(hosts)
 
 
-def test_before_an_epoch_is_known_no_core_machines_are_told(plane):
+def test_no_core_machines_are_published_before_an_epoch_is_known(plane):
     plane.node.epoch_record = None
     plane._publish_cores(1.0)
     assert not plane.cores.entries
--- a/tests/system/test_control_reader_term.py
+++ b/tests/system/test_control_reader_term.py
@@ -25,9 +25,9 @@
     )
 
 
-def test_a_decided_epoch_does_not_lend_its_number_to_the_appointment_of_the_one_before():
-    # Numbers begin anew with each epoch: (6, 1) here and (6, 0) from the next heartbeat on would be a
-    # term that goes back, and what the reader publishes under it would be ignored as old by everybody.
+def test_a_new_epoch_is_not_combined_with_the_appointment_of_the_previous_one():
+    # Numbers restart with each epoch: (6, 1) here and (6, 0) from the next heartbeat on would be a term that
+    # goes back, and everything that the reader publishes under it would be ignored as outdated.
     assert node_with(backup(6, 5, 1)).reader_term == ReaderTerm(5, 1)
 
 
@@ -36,18 +36,18 @@
     assert (term.epoch, term.number) > (5, 1)
 
 
-def test_the_primary_goes_by_its_own_record():
+def test_the_primary_uses_its_own_record():
     replica = backup(7, 5, 2)
     replica.primary = object()
     assert node_with(replica).reader_term == ReaderTerm(7, 2)
 
 
-def test_each_change_of_the_reader_is_told_once():
+def test_each_change_of_the_reader_is_notified_once():
     node = node_with(backup(6, 6, 0))
-    told = []
-    node.on_reader_changed = lambda: told.append(node.reader_term)
+    notified = []
+    node.on_reader_changed = lambda: notified.append(node.reader_term)
     node._notify_reader_change()
     node._notify_reader_change()
     node._replica.current_appointment = ReaderAppointment("reader", 1, incarnation=1)
     node._notify_reader_change()
-    assert told == [ReaderTerm(6, 0), ReaderTerm(6, 1)]
+    assert notified == [ReaderTerm(6, 0), ReaderTerm(6, 1)]
--- a/tests/system/test_control_rehearsal.py
+++ b/tests/system/test_control_rehearsal.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults against the replicas of the control state; planted faults are caught."""
+"""Seeded fault schedules against replicas of the control state, and planted bugs that they must detect."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_three_machines_keep_their_promises(seed):
+def test_three_machines_hold_all_invariants(seed):
     assert run_schedule(seed, 3, 1) == []
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_six_machines_of_which_two_may_be_lost_keep_their_promises(seed):
+def test_six_machines_of_which_two_may_be_lost_hold_all_invariants(seed):
     assert run_schedule(seed, 6, 2) == []
 
 
 class AcknowledgesBeforeSync(Replica):
-    """A backup that tells of changes and votes before its disk has them."""
+    """A backup that acknowledges changes and votes before they are synced."""
 
     def take_effects(self):
         effects = super().take_effects()
@@ -52,7 +52,7 @@
 
 
 class KeepsIdentityAfterWipe(Replica):
-    """A machine that lost its disk and votes and leads under its earlier identity."""
+    """A machine that lost its disk and still votes and leads under its previous identity."""
 
     identities_by_host: dict[str, tuple[str, Acceptor]] = {}
 
@@ -62,7 +62,7 @@
 
 
 class ActsAfterRestart(Replica):
-    """A primary that goes on in its epoch after a restart."""
+    """A primary that continues in its epoch after a restart."""
 
     def __init__(self, info, durable, timing, tolerance, random, now):
         super().__init__(info, durable, timing, tolerance, random, now)
@@ -99,7 +99,7 @@
 
 
 class AcceptsOldEpochs(Replica):
-    """A replica that acknowledges what a deposed primary sends instead of telling it."""
+    """A replica that acknowledges a deposed primary's messages instead of informing it."""
 
     def _is_from_current_primary(self, sender, epoch):
         if self.record is not None and 0 <= epoch < self.record.epoch:
@@ -114,7 +114,7 @@
 
 
 class ForgetsPromises(Replica):
-    """A witness that promises any ballot."""
+    """An acceptor that forgets its promises and accepted record before each ballot message."""
 
     def _on_ballot(self, now, sender, message):
         state = self.acceptor.state
@@ -132,23 +132,23 @@
 
 
 @pytest.mark.parametrize("replica_type", PLANTED, ids=lambda kind: kind.__name__)
-def test_a_planted_fault_is_caught(replica_type):
+def test_a_planted_bug_is_detected(replica_type):
     for seed in range(60):
         KeepsIdentityAfterWipe.identities_by_host.clear()
-        if replica_type_broken(replica_type, seed):
+        if safety_violations_of(replica_type, seed):
             return
-    pytest.fail(f"{replica_type.__name__} was not caught")
+    pytest.fail(f"{replica_type.__name__} was not detected")
 
 
 @pytest.mark.parametrize("seed", [0, 23, 35, 47, 48])
-def test_machines_beside_the_seeds_become_voters_in_a_calm_start(seed):
+def test_machines_other_than_the_seeds_become_voters_in_a_start_without_faults(seed):
     world = World(seed, 6, machines=2)
     world.run(6.0)
     assert settled(world) == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_machine_cut_off_for_long_is_taken_in_again(seed):
+def test_a_machine_that_was_partitioned_for_long_rejoins(seed):
     world = World(seed, 6, machines=2)
     world.run(6.0)
     cut = {(a, b) for a in ["h4"] for b in world.machines} | {(b, "h4") for b in world.machines}
@@ -160,7 +160,7 @@
 
 
 def stale_read(replica_type) -> list[str]:
-    """Whether a primary that was cut off and deposed answers a read before it learns of its successor."""
+    """Violations if a partitioned, deposed primary answers a read before it learns of its successor."""
     world = World("stale read", replica_type=replica_type)
     world.run(3.0)
     old = next(machine for machine in world.running() if machine.replica.primary is not None)
@@ -188,21 +188,21 @@
     assert stale_read(Replica) == []
 
 
-def test_a_replica_that_acknowledges_a_deposed_primary_is_caught():
+def test_a_replica_that_acknowledges_a_deposed_primary_is_detected():
     assert stale_read(AcceptsOldEpochs)
 
 
-def replica_type_broken(replica_type, seed) -> list[str]:
-    return unsafe(run_schedule(seed, 3, 1, replica_type=replica_type))
+def safety_violations_of(replica_type, seed) -> list[str]:
+    return safety_violations(run_schedule(seed, 3, 1, replica_type=replica_type))
 
 
-def unsafe(found: list[str]) -> list[str]:
-    """Broken promises of safety only; a fault that merely stops everything is not what is looked for."""
+def safety_violations(found: list[str]) -> list[str]:
+    """Safety violations only; a planted bug that merely halts progress doesn't count as detected."""
     words = ("twice", "acted", "two states", "acknowledged", "lacks", "lost")
     return [line for line in found if any(word in line for word in words)]
 
 
-def test_records_of_another_cluster_are_passed_over():
+def test_records_of_another_cluster_are_ignored():
     world, other = World("own"), World("other")
     world.run(3.0)
     other.run(3.0)
@@ -210,12 +210,12 @@
     foreign = msgspec.structs.replace(other.records[later], epoch=later + 1000)
     known = {machine.host: machine.replica.record for machine in world.running()}
     assert {record.cluster for record in known.values()} != {foreign.cluster}
-    stranger = ReplicaInfo("stranger", "h9", "z9", "r", "h9:1")
+    foreign_replica = ReplicaInfo("stranger", "h9", "z9", "r", "h9:1")
     ballot = Ballot(99, "stranger", 1)
     for machine in world.running():
-        decided = (Hello(stranger, foreign), Decided(foreign))
+        decided = (Hello(foreign_replica, foreign), Decided(foreign))
         for message in (*decided, Prepare(ballot, foreign), Accept(ballot, foreign)):
-            machine.replica.receive(world.now, stranger, message)
+            machine.replica.receive(world.now, foreign_replica, message)
             world.run_effects(machine)
     world.run(5.0)
     assert {machine.host: machine.replica.record for machine in world.running()} == known
@@ -255,16 +255,16 @@
 
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
 @pytest.mark.parametrize("seed", range(4))
-def test_the_worst_days_break_no_promise(seed, shape):
-    """A small fixed part; all of it: `experiments/control_schedules.py`."""
+def test_the_worst_days_violate_no_invariant(seed, shape):
+    """A small fixed selection; `experiments/control_schedules.py` plays all schedules."""
     assert run_worst_day(seed, shape) == []
 
 
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
 @pytest.mark.parametrize("replica_type", PLANTED, ids=lambda kind: kind.__name__)
-def test_a_planted_fault_is_caught_on_the_worst_days(replica_type, shape):
+def test_a_planted_bug_is_detected_on_the_worst_days(replica_type, shape):
     for seed in range(60):
         KeepsIdentityAfterWipe.identities_by_host.clear()
-        if unsafe(run_worst_day(seed, shape, replica_type)):
+        if safety_violations(run_worst_day(seed, shape, replica_type)):
             return
-    pytest.fail(f"{replica_type.__name__} was not caught")
+    pytest.fail(f"{replica_type.__name__} was not detected")
--- a/tests/system/test_control_relay.py
+++ b/tests/system/test_control_relay.py
@@ -1,4 +1,4 @@
-"""A control process without a replica: where it sends orders, whom it names, and which machines run it."""
+"""A control process without a replica: redirects of orders, addresses it serves, and machines that run it."""
 
 from types import SimpleNamespace
 
@@ -56,18 +56,18 @@
     assert authority(cores, [member(n) for n in (1, 2, 3, 4)]) == "10.0.0.4:8166"
 
 
-def test_without_a_primary_that_lives_they_are_sent_to_the_nearest_core_machine():
+def test_without_a_live_primary_orders_are_sent_to_the_nearest_core_machine():
     cores = [*CORES, core(4, "z3", primary=True)]
     assert authority(cores, [member(1), member(2), member(3), member(4, suspected=True)]) == "10.0.0.3:8166"
     assert authority(cores, [member(1), member(2)]) == "10.0.0.2:8166"
     assert authority(cores, [member(1)]) == "10.0.0.1:8166"
 
 
-def test_a_core_machine_that_only_membership_knows_serves_as_well():
+def test_a_core_machine_known_only_from_membership_is_used_as_well():
     assert authority([], [member(5), member(6, Role.RELAY), member(7, Role.EDGE)]) == "10.0.0.5:8166"
 
 
-def test_without_a_core_machine_an_order_is_left_unclear():
+def test_without_a_core_machine_an_order_is_answered_unavailable():
     assert authority(CORES, [member(5, Role.RELAY)]) is None
     server = RedirectionServer(settings(), CoreChooser(settings(), list, list))
     assert answer(server, "/config")[0].startswith("503")
@@ -86,14 +86,14 @@
     return seen[0]
 
 
-def test_the_primary_is_told_with_the_core_machines_and_an_older_release_tells_none():
-    told = read_cores(core_entries({"a": core(1, "z1", primary=True), "b": core(2, "z2")}))
-    assert [machine.primary for machine in told] == [True, False]
+def test_core_machines_are_published_with_the_primary_except_by_older_releases():
+    published = read_cores(core_entries({"a": core(1, "z1", primary=True), "b": core(2, "z2")}))
+    assert [machine.primary for machine in published] == [True, False]
     older = b'{"host":"10.0.0.1","port":7001,"zone":"z1","region":"r1"}'
     assert read_cores({"core/a": older}) == [core(1, "z1")]
 
 
-def test_publishers_are_found_by_membership_where_no_seed_has_one():
+def test_publishers_are_found_through_membership_if_no_seed_has_one():
     directory = CoreDirectory(settings(), lambda: ["10.0.0.7"])
     assert directory.targets() == [Address("10.0.0.1", 7001), Address("10.0.0.7", 7001)]
     directory.learn(core_entries({"a": core(7, "z1")}))
@@ -113,7 +113,7 @@
     assert made == ["replica" if replica else "relay"]
 
 
-def test_a_relay_takes_over_what_the_core_machines_tell():
+def test_a_relay_applies_what_the_core_machines_publish():
     relay = ControlRelay(settings())
     relay._apply(CORES_SOURCE, (3,), core_entries({"a": core(2, "z2", primary=True)}))
     assert [machine.host for machine in relay.directory.cores()] == ["10.0.0.2"]
@@ -122,6 +122,6 @@
     assert relay.registry._homes.of_host("h") == {"r1"}
 
 
-def test_the_processes_of_one_machine_are_members_of_different_names():
+def test_the_processes_of_one_machine_are_members_with_different_names():
     relay = ControlRelay(settings())
     assert relay.membership.member.me.name == "edge-1/edge-control" != settings().node_name
--- a/tests/system/test_control_storage.py
+++ b/tests/system/test_control_storage.py
@@ -1,4 +1,4 @@
-"""The replica's disk: what it keeps, torn writes, a full disk, and data that is not its own."""
+"""The replica's disk: persistence, torn writes, a full disk, and foreign databases."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         storage.close()
 
 
-def test_a_new_disk_has_no_identity_and_keeps_the_one_it_is_given(tmp_path):
+def test_a_new_disk_has_no_identity_and_keeps_the_assigned_one(tmp_path):
     storage = Storage(tmp_path)
     assert storage.replica_id is None
     storage.create("replica", AcceptorState())
@@ -43,7 +43,7 @@
     again.close()
 
 
-def test_what_is_written_is_found_again(tmp_path):
+def test_written_data_survives_reopening(tmp_path):
     storage = new_storage(tmp_path)
     acceptor = AcceptorState(RECORD, Ballot(2, "a", 7), Ballot(1, "b", 9), RECORD)
     changes = (Change("x", b"1"), Change("y", b"2"))
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_after_a_torn_write_the_disk_holds_what_was_synced_or_all_of_what_followed(tmp_path, seed):
+def test_a_torn_write_is_applied_completely_or_not_at_all(tmp_path, seed):
     random = Random(seed)
     source = tmp_path / "source"
     storage = new_storage(source)
@@ -82,7 +82,7 @@
     assert reopened(target).state in (states[synced], states[synced + 1])
 
 
-def test_a_write_that_a_full_disk_refused_changes_nothing_and_may_be_repeated(tmp_path):
+def test_a_write_refused_by_a_full_disk_changes_nothing_and_may_be_retried(tmp_path):
     storage = new_storage(tmp_path)
     storage.write([SaveChanges(1, 1, (Change("x", b"1"),))])
     storage._connection.execute("PRAGMA max_page_count = 1")
@@ -109,7 +109,7 @@
     assert "\n" not in str(raised.value)
 
 
-def test_the_log_beside_the_database_stays_small(tmp_path):
+def test_the_write_ahead_log_stays_small(tmp_path):
     storage = new_storage(tmp_path)
     for sequence in range(1, 200):
         storage.write([SaveChanges(1, sequence, (Change("configuration", bytes([sequence]) * 100_000),))])
--- a/tests/system/test_control_upgrade.py
+++ b/tests/system/test_control_upgrade.py
@@ -1,4 +1,4 @@
-"""Replicas of the release before, which knew no leaves and no lives, in a cluster with those of this one."""
+"""Mixed clusters with replicas of the previous release, which has neither leave messages nor incarnations."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.system.control_rehearsal import Client, Machine, World, heal, settled
 
 LENGTH_S = 30.0
-STEP_S = 3.0
+UPGRADE_INTERVAL_S = 3.0
 
 
 def without_later_fields(message):
-    """A message as the release before writes and reads it."""
+    """A message as the previous release writes and reads it."""
     if isinstance(message, Heartbeat):
         return msgspec.structs.replace(message, reader_incarnation=NO_INCARNATIONS, released=False)
     if isinstance(message, HeartbeatAck):
@@ -24,7 +24,7 @@
 
 
 class EarlierRelease(Replica):
-    """A replica of the release before: a backup ends without a word, and readers are granted no lives."""
+    """A replica of the previous release: backups exit unannounced, readers aren't bound to an incarnation."""
 
     def take_effects(self):
         effects = super().take_effects()
@@ -42,7 +42,7 @@
 
 
 class Upgraded:
-    """A world whose machines run the release that `releases` names for their host."""
+    """A world in which each machine runs the release that `releases` gives for its host."""
 
     def __init__(self, seed: int, first: type, then: type):
         self.releases = {f"h{n}": first for n in range(3)}
@@ -65,19 +65,19 @@
     ("first", "then"), [(EarlierRelease, Replica), (Replica, EarlierRelease)], ids=["up", "down"]
 )
 @pytest.mark.parametrize("seed", range(3))
-def test_releases_are_exchanged_one_machine_after_the_other(seed, first, then, order):
+def test_releases_are_changed_one_machine_at_a_time(seed, first, then, order):
     upgraded = Upgraded(seed, first, then)
     world = upgraded.world
     clients = [Client(world, f"c{n}", LENGTH_S) for n in range(2)]
     for number, host in enumerate(order):
-        world.at(6.0 + STEP_S * number, upgraded.upgrade, host)
+        world.at(6.0 + UPGRADE_INTERVAL_S * number, upgraded.upgrade, host)
     world.run(LENGTH_S + 2.0)
     assert settled(world) == []
     assert sum(client.answer_count for client in clients) > 30
 
 
 @pytest.mark.parametrize("primary", [EarlierRelease, Replica])
-def test_a_process_of_this_release_leaves_at_once_whatever_its_primary_s_release(primary):
+def test_a_process_of_this_release_leaves_at_once_regardless_of_its_primary_s_release(primary):
     upgraded = Upgraded(1, primary, Replica)
     world = upgraded.world
     world.run(6.0)
--- a/tests/system/test_control_writer.py
+++ b/tests/system/test_control_writer.py
@@ -1,4 +1,4 @@
-"""The worker thread that writes: its errors reach the caller and print nothing."""
+"""The worker thread for writes: errors reach the caller and print nothing, and failed writes are retried."""
 
 import sqlite3
 
@@ -22,7 +22,7 @@
     assert capfd.readouterr() == ("", "")
 
 
-def test_what_a_call_returns_is_handed_on():
+def test_the_result_of_a_call_is_returned():
     assert Writer(lambda number: None).run_blocking(max, 1, 2) == 2
 
 
@@ -39,7 +39,7 @@
     assert [found.name for found in tmp_path.iterdir()] == [DATABASE_NAME]
 
 
-def test_a_new_database_keeps_a_log_and_is_opened_again(tmp_path):
+def test_a_new_database_uses_a_write_ahead_log_and_can_be_reopened(tmp_path):
     storage = Storage(tmp_path)
     storage.create("a", AcceptorState())
     assert storage._connection.execute("PRAGMA journal_mode").fetchone()[0] == "wal"
@@ -47,8 +47,8 @@
     assert Storage(tmp_path).replica_id == "a"
 
 
-def test_a_full_disk_is_told_and_what_waits_is_written_once_there_is_room(tmp_path, monkeypatch):
-    """Each write is refused until there is room; none of those that wait is lost or acknowledged before."""
+def test_a_full_disk_is_reported_and_pending_writes_complete_once_there_is_space(tmp_path, monkeypatch):
+    """Each write is refused until there is space; no pending write is lost or acknowledged early."""
     monkeypatch.setattr("nettledeal.control.writer.RETRY_DELAY_S", 0.001)
     storage = Storage(tmp_path)
     storage.create("a", AcceptorState())
--- a/tests/system/test_data_inspection.py
+++ b/tests/system/test_data_inspection.py
@@ -1,4 +1,4 @@
-"""Data directories looked at from outside: sound, in use, foreign, damaged; never changed."""
+"""Inspection of data directories (consistent, in use, foreign, damaged), which never changes them."""
 
 import hashlib
 import sqlite3
@@ -60,7 +60,7 @@
     connection.close()
 
 
-def test_a_sound_directory(folder):
+def test_a_consistent_directory(folder):
     before = digests(folder)
     directory = inspect_folder(folder)
     assert findings(directory) == []
@@ -71,8 +71,8 @@
     assert digests(folder) == before
 
 
-def test_commits_that_stand_only_in_the_log_are_seen(tmp_path):
-    """As after a crash: the files are copied while the database is open."""
+def test_commits_that_are_only_in_the_write_ahead_log_are_seen(tmp_path):
+    """Simulates a crash by copying the files while the database is open."""
     source, crashed = tmp_path / "source", tmp_path / "crashed"
     storage = fill(source)
     crashed.mkdir()
@@ -98,21 +98,21 @@
     assert raised.value.code is ErrorCode.FOREIGN_DATA
 
 
-def test_a_format_that_is_not_known(folder):
+def test_an_unknown_format(folder):
     damage(folder, "PRAGMA user_version = 9")
     with pytest.raises(ServingError, match="format 9") as raised:
         inspect_folder(folder)
     assert raised.value.code is ErrorCode.FOREIGN_DATA
 
 
-def test_no_database_at_all(tmp_path):
+def test_a_file_that_is_no_database(tmp_path):
     (tmp_path / DATABASE_NAME).write_bytes(b"something else" * 1000)
     with pytest.raises(ServingError) as raised:
         inspect_folder(tmp_path)
     assert raised.value.code is ErrorCode.FOREIGN_DATA
 
 
-def test_a_torn_page_is_reported_and_left(folder):
+def test_a_torn_page_is_reported_and_not_repaired(folder):
     path = folder / DATABASE_NAME
     content = bytearray(path.read_bytes())
     content[4096:4196] = b"\xff" * 100
@@ -139,7 +139,7 @@
         ("DELETE FROM meta", (), "meta"),
     ],
 )
-def test_what_does_not_fit_together_is_named(folder, statement, values, where):
+def test_an_inconsistency_is_reported_with_its_location(folder, statement, values, where):
     damage(folder, statement, *values)
     found = findings(inspect_folder(folder))
     assert found and all(line.startswith(where) for line in found)
--- a/tests/system/test_deployment_sizes.py
+++ b/tests/system/test_deployment_sizes.py
@@ -1,4 +1,4 @@
-"""What must not grow with a deployment, and what members of many machines find out, on real code."""
+"""Costs that must not grow with a deployment, and membership across many machines, on production code."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Pipeline:
-    """The control state, the source published from it and one agent's copy, without sockets."""
+    """The control state, the source published from it and one agent's copy, without network."""
 
     def __init__(self, routes: int, seed: int):
         self.random = Random(seed)
@@ -34,25 +34,25 @@
         self.state = ControlState()
         self.source = PublishedSource(CONTROL_SOURCE)
         self.copy = SubscribedSource(CONTROL_SOURCE)
-        self.take()
+        self.commit_configuration()
 
-    def take(self) -> bytes:
-        """Commit the configuration, all the way to the agent's copy; returns the update's frame."""
+    def commit_configuration(self) -> bytes:
+        """Commit the configuration and propagate it to the agent's copy; returns the update's frame."""
         body = msgspec.json.encode(self.configuration)
         digest = xxhash.xxh3_128_digest(body)
         order = PutConfiguration(self.state.generation, self.configuration.generation, digest, body)
         decision = decide(self.state, order)
-        held = self.source.version if self.copy.version else NO_VERSION
+        known_version = self.source.version if self.copy.version else NO_VERSION
         self.state = self.state.after(self.state.sequence + 1, decision.changes)
         self.source.publish((self.state.sequence,), control_entries(self.state.entries))
-        frame = self.source.update_since(held).frame
+        frame = self.source.update_since(known_version).frame
         self.copy.apply(CODEC.decode(frame[FRAME_HEADER_BYTES:]))
         return frame
 
     def change(self) -> bytes:
         """Change one route; returns the update's frame."""
         self.configuration = drawn_deployment.changed_configuration(self.configuration, self.random)
-        return self.take()
+        return self.commit_configuration()
 
 
 def test_an_update_of_one_route_does_not_grow_with_the_configuration():
@@ -62,14 +62,14 @@
     assert many.copy.entries == many.source.entries
 
 
-def test_changes_do_not_pile_up():
+def test_entries_do_not_accumulate_over_changes():
     pipeline = Pipeline(100, 1)
     for _ in range(2500):
         pipeline.change()
     assert len(pipeline.state.entries) < 2200
 
 
-def test_a_deployment_follows_from_its_seed():
+def test_a_deployment_is_determined_by_its_seed():
     first, again = (drawn_deployment.backends(200, Random(4)) for _ in range(2))
     assert first == again
     assert len({backend.id for backend in first}) == len({backend.address for backend in first}) == 200
@@ -85,7 +85,7 @@
     assert msgspec.json.encode(before.services) == msgspec.json.encode(after.services)
 
 
-def test_members_find_all_others_and_survive_the_loss_of_a_region():
+def test_members_discover_all_others_and_survive_the_loss_of_a_region():
     group = Group(AGENTS, 3)
     assert max(group.complete_after(CORES + AGENTS, JOIN_LIMIT_S)) < JOIN_LIMIT_S
     lost = list(group.members)[CORES :: drawn_deployment.REGIONS]
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(("other", "alike"), [(7, True), (8, False)])
-def test_a_run_of_members_follows_from_its_seed(other, alike):
+def test_a_membership_run_is_determined_by_its_seed(other, alike):
     groups = Group(AGENTS, 7), Group(AGENTS, other)
     for group in groups:
         group.run(LOST_S)
--- a/tests/system/test_order_history.py
+++ b/tests/system/test_order_history.py
@@ -1,4 +1,4 @@
-"""The checker of histories finds what no order of events explains, and passes what one does."""
+"""The history checker accepts linearizable histories and reports all others."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.system.control_rehearsal import run_schedule
 from tests.system.order_history import Answer, Evacuation, History, Put, Read
 
-ACK, NO, UNCLEAR = Answer.ACKNOWLEDGED, Answer.REFUSED, Answer.UNCLEAR
+ACK, REFUSED, UNCLEAR = Answer.ACKNOWLEDGED, Answer.REFUSED, Answer.UNCLEAR
 A = Put("a", 0, 1, 0.0, 1.0, ACK)
 B = Put("b", 1, 2, 2.0, 3.0, ACK)
 
@@ -19,13 +19,13 @@
     "history",
     [
         History([A, B], [Read("", 0.0, 0.5), Read("a", 1.0, 2.5), Read("b", 2.5, 4.0)]),
-        History([A, Put("a", 0, 1, 4.0, 5.0, ACK), Put("c", 0, 2, 0.5, 2.0, NO)]),
+        History([A, Put("a", 0, 1, 4.0, 5.0, ACK), Put("c", 0, 2, 0.5, 2.0, REFUSED)]),
         History([Put("a", 0, 1, 0.0, 9.0, UNCLEAR)], [Read("", 1.0, 2.0), Read("a", 1.5, 3.0)]),
         History([Put("a", 0, 1, 0.0, 1.0, UNCLEAR), B], [Read("b", 3.0, 4.0)]),
-        History([A, Put("x", 1, 2, 2.0, 3.0, NO), B]),
+        History([A, Put("x", 1, 2, 2.0, 3.0, REFUSED), B]),
     ],
 )
-def test_what_fits_an_order_of_events(history):
+def test_a_linearizable_history_has_no_faults(history):
     assert history.faults() == []
 
 
@@ -36,18 +36,18 @@
         History([A], [Read("", 1.5, 2.0)]),
         History([A, Put("c", 0, 1, 0.0, 1.0, ACK)]),
         History([A, B, Put("c", 1, 3, 2.0, 3.0, ACK)]),
-        History([A, Put("a", 0, 1, 4.0, 5.0, NO)]),
-        History([A, Put("c", 1, 2, 2.0, 3.0, NO)], [Read("c", 4.0, 5.0)]),
+        History([A, Put("a", 0, 1, 4.0, 5.0, REFUSED)]),
+        History([A, Put("c", 1, 2, 2.0, 3.0, REFUSED)], [Read("c", 4.0, 5.0)]),
         History([A], [Read("z", 0.0, 1.0)]),
         History([Put("b", 7, 8, 0.0, 1.0, ACK)]),
         History([Put("a", 0, 1, 5.0, 6.0, ACK), Put("b", 1, 2, 0.0, 1.0, ACK)]),
     ],
 )
-def test_what_fits_none(history):
+def test_a_history_that_is_not_linearizable_has_faults(history):
     assert history.faults()
 
 
-def test_an_acknowledged_evacuation_is_in_force_unless_an_opposite_order_may_have_come_after():
+def test_an_acknowledged_evacuation_is_in_effect_unless_an_opposite_order_may_have_followed():
     order = Evacuation("z", True, 0.0, 1.0, ACK)
     assert History(evacuations=[order]).faults(frozenset({"z"})) == []
     assert History(evacuations=[order]).faults(frozenset())
@@ -58,24 +58,24 @@
 
 
 def forgets_what_was_accepted(state, command):
-    """A resent order is judged anew."""
+    """A retried order is evaluated again instead of being acknowledged."""
     known = state_module.ACCEPTED_PREFIX + command.digest.hex()
     return decide(state_module.ControlState(state.sequence, state.entries.discard(known)), command)
 
 
-def accepts_whatever_it_builds_on(state, command):
-    """No compare before the set."""
+def accepts_any_expected_version(state, command):
+    """Accepts an order without comparing its expected version."""
     decision = decide(state, command)
     if decision.outcome is Outcome.CONFLICT:
         return Decision(Outcome.ACCEPTED)
     return decision
 
 
-def test_the_histories_of_schedules_show_an_order_that_is_judged_anew(monkeypatch):
+def test_schedules_detect_an_order_that_is_evaluated_twice(monkeypatch):
     monkeypatch.setattr("nettledeal.control.primary.decide", forgets_what_was_accepted)
     assert any(run_schedule(seed, 3, 1) for seed in range(20))
 
 
-def test_the_histories_of_schedules_show_two_orders_on_one_version(monkeypatch):
-    monkeypatch.setattr("nettledeal.control.primary.decide", accepts_whatever_it_builds_on)
+def test_schedules_detect_two_orders_on_the_same_version(monkeypatch):
+    monkeypatch.setattr("nettledeal.control.primary.decide", accepts_any_expected_version)
     assert any(run_schedule(seed, 3, 1) for seed in range(20))
--- a/tests/system/vector_exploring.py
+++ b/tests/system/vector_exploring.py
@@ -1,10 +1,10 @@
-"""The explorer of `control_exploring`, many states at a time.
+"""Vectorized version of the explorer in `control_exploring`.
 
-All that may happen to a replica is worked out once there and numbered, so that a state is a row of small
-numbers and a step a look-up in tables, done here for hundreds of thousands of rows at once. Of a state that
-was seen its fingerprint of 64 bits is kept: two states of one fingerprint would be taken for one, by chance
-in one of 3,000 explorations of a hundred million states. What it finds is the broken promise, without the way
-to it; `Explorer` has that.
+That module computes and numbers every transition of a replica once, so a state is a row of small numbers and
+a transition a table lookup, done here for hundreds of thousands of rows at once. Of visited states only a
+64-bit fingerprint is kept; a collision would merge two states, which is expected in one of 3,000 explorations
+of a hundred million states. This explorer reports a violated invariant without the path to it, which
+`Explorer` can find.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 CHUNK_ROWS = 200_000
 PROGRESS_EVERY_S = 30.0
 MEBIBYTE_IN_KIBIBYTES = 1024
-# Bits of a number in a packed key: local states, messages on a link, moves, pasts.
+# Bits per number in a packed key (numbers of local states, links, transitions, histories).
 KEY_BITS = 20
-# A process that has ended, a link without messages, a step that changes nothing.
+# An exited process, a link without messages, or no transition.
 NONE = 0
 _MIX = np.uint64(0x9E3779B97F4A7C15)
 
 
 class InvariantViolation(Exception):
-    """A step broke a promise."""
+    """A transition violated an invariant."""
 
 
 class ValueNumbers:
-    """Values and their numbers, from 0 in the order in which they came."""
+    """Assigns numbers to values, from 0 in order of first appearance."""
 
     def __init__(self, *values: object):
         self.values: list = []
@@ -62,7 +62,7 @@
 
 
 class Table:
-    """A function of up to three numbers, each result worked out once."""
+    """A memoized function of up to three numbers, applied to columns."""
 
     def __init__(self, function: Callable[..., int]):
         self._function = function
@@ -88,7 +88,7 @@
 
 
 class Fingerprints:
-    """A set of fingerprints, as sorted arrays of which each is more than twice as long as the next."""
+    """A set of fingerprints, stored as sorted arrays, each more than twice as long as the next."""
 
     def __init__(self) -> None:
         self._levels: list[np.ndarray] = []
@@ -97,7 +97,7 @@
         return sum(map(len, self._levels))
 
     def add(self, fingerprints: np.ndarray) -> np.ndarray:
-        """Add those that are new; the places at which they stand, each once."""
+        """Add the new fingerprints; returns the index of one occurrence of each."""
         unique, places = np.unique(fingerprints, return_index=True)
         fresh = np.ones(len(unique), bool)
         for level in self._levels:
@@ -128,12 +128,15 @@
 
 
 def used_mebibytes() -> float:
-    """The most memory that this process has had."""
+    """The peak memory use of this process."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / MEBIBYTE_IN_KIBIBYTES
 
 
 class VectorExplorer:
-    """Breadth first. A row has the local states by host, links by pair of hosts, what is left, the past."""
+    """Breadth-first search.
+
+    Columns of a row: local state by host, link by ordered pair of hosts, remaining bounds, history.
+    """
 
     def __init__(self, bounds: Bounds, replica_type: Callable[..., Replica] = ExploredReplica):
         self.bounds = bounds
@@ -149,16 +152,16 @@
         self.events = ValueNumbers(None)
         self.sent_messages = ValueNumbers(())
         self.loss_groups = ValueNumbers(())
-        self.known = ValueNumbers()
+        self.survival_histories = ValueNumbers()
         self._loss_views: list[View | None] = [None]
         self._losses: dict[tuple, int] = {}
         self._transition_numbers: dict[tuple, int] = {}
-        self._tables()
+        self._create_tables()
 
     def explore(
         self, max_mebibytes: float, progress: Callable[[str], None] = lambda line: None
     ) -> Exploration:
-        """All that can be reached within the bounds, as far as states and memory allow."""
+        """Explore everything reachable within the bounds, as far as the limits on states and memory allow."""
         seen = Fingerprints()
         layer = [self._first()]
         seen.add(fingerprints(layer[0]))
@@ -167,7 +170,7 @@
             following: list[Rows] = []
             for rows in _chunks(layer):
                 try:
-                    for after in self._steps(rows):
+                    for after in self._successors(rows):
                         fresh = after[seen.add(fingerprints(after))]
                         if len(fresh):
                             following.append(fresh)
@@ -191,7 +194,7 @@
 
     # Tables
 
-    def _tables(self) -> None:
+    def _create_tables(self) -> None:
         self._delivery_transition = Table(self._deliver)
         self._link_after_delivery = Table(lambda link: self.links.number(self.links.values[link][1:]))
         self._next_state = Table(
@@ -206,11 +209,11 @@
             for host in self.hosts
         ]
         self._enqueued_link = Table(self._append_messages)
-        self._history_after_answers = Table(self._answer)
+        self._history_after_answers = Table(self._apply_answers)
         self._observed_history = Table(
             lambda history, local: self._require_valid(self.explorer._observe(history, local - 1))
         )
-        self._relevant_link = Table(self._count)
+        self._relevant_link = Table(self._relevant_link_number)
         self._event_count = [
             Table(lambda remaining, local, host=host: len(self._events_of(remaining, local, host)))
             for host in self.hosts
@@ -220,7 +223,7 @@
             for host in self.hosts
         ]
         self._event_transition = Table(lambda event: self.events.values[event][0])
-        self._event_left = Table(lambda event: self.events.values[event][1])
+        self._event_remaining = Table(lambda event: self.events.values[event][1])
         self._event_clears = Table(lambda event: self.events.values[event][2])
         self._may_end = Table(lambda local: int(self.replicas.views[local - 1].may_end))
         self._latest_record_link = Table(self._latest_record_link_number)
@@ -228,10 +231,14 @@
             lambda remaining: int(self.explorer._remaining_bounds[remaining].drops > 0)
         )
         self._resets = Table(lambda remaining: int(self.explorer._remaining_bounds[remaining].resets > 0))
-        self._reset_left = Table(lambda remaining: self.explorer._after_use(remaining, "resets"))
+        self._reset_remaining = Table(lambda remaining: self.explorer._after_use(remaining, "resets"))
         self._loss = Table(self._loss_view)
         self._loss_group = Table(self._append_loss)
-        self._known = Table(lambda history: self.known.number(_known_of(self.explorer._histories[history])))
+        self._survival_history = Table(
+            lambda history: self.survival_histories.number(
+                _survival_history_of(self.explorer._histories[history])
+            )
+        )
         self._loss_checked = Table(self._check_loss)
 
     def _deliver(self, target: int, source: int, link: int) -> int:
@@ -241,7 +248,7 @@
         return self._transition_number(transition, ())
 
     def _transition_number(self, transition: Transition, pending: tuple) -> int:
-        """The number of a move; the replicas keep one object for each."""
+        """The number of a transition; `ReplicaStates` keeps a single object for each."""
         key = (id(transition), pending)
         if key not in self._transition_numbers:
             self._transition_numbers[key] = len(self.transitions.values)
@@ -254,7 +261,7 @@
             messages = self.explorer._enqueue(messages, message)
         return self.links.number(messages)
 
-    def _answer(self, history: int, transition_number: int) -> int:
+    def _apply_answers(self, history: int, transition_number: int) -> int:
         transition, pending = self.transitions.values[transition_number]
         content = self.explorer._histories[history]
         if pending:
@@ -283,16 +290,16 @@
             raise InvariantViolation(history)
         return history
 
-    def _count(self, target: int, source: int, link: int) -> int:
+    def _relevant_link_number(self, target: int, source: int, link: int) -> int:
         if NONE in (target, source, link):
             return link
-        counting = self.explorer._relevant_messages(target - 1, source - 1, self.links.values[link])
-        return self.links.number(counting)
+        relevant = self.explorer._relevant_messages(target - 1, source - 1, self.links.values[link])
+        return self.links.number(relevant)
 
     def _events_of(self, remaining: int, local: int, host: int) -> list[int]:
         view = self.replicas.views[local - 1]
         found = []
-        for _, event, spent in self.explorer._events(remaining, f"h{host}", view):
+        for _, event, remaining_after in self.explorer._events(remaining, f"h{host}", view):
             pending = ()
             if event[0] == "order":
                 pending = (event[1], event[2].digest.hex())
@@ -300,7 +307,7 @@
                 pending = (event[1], "")
             transition_number = self._transition_number(self.replicas.apply_event(local - 1, event), pending)
             clears = {"restart": 1, "wipe": 2}.get(event[0], 0)
-            found.append(self.events.number((transition_number, spent, clears)))
+            found.append(self.events.number((transition_number, remaining_after, clears)))
         return found
 
     def _latest_record_link_number(self, history: int) -> int:
@@ -308,7 +315,7 @@
         return self.links.number((self.replicas.message_number(Decided(latest)),))
 
     def _loss_view(self, local: int) -> int:
-        """The number of what a loss depends on of a local state."""
+        """The number of the part of a local state on which survival of a loss depends."""
         if local == NONE:
             return NONE
         view = self.replicas.views[local - 1]
@@ -319,29 +326,29 @@
         return number
 
     def _append_loss(self, group: int, loss: int) -> int:
-        """Losses of the hosts one after the other, as one number."""
+        """Extend a group by the loss view of one more host; returns the group's number."""
         return self.loss_groups.number((*self.loss_groups.values[group], loss))
 
-    def _check_loss(self, group: int, known: int) -> int:
+    def _check_loss(self, group: int, history: int) -> int:
         views = [self._loss_views[loss] for loss in self.loss_groups.values[group] if loss != NONE]
-        missing = _missing_after_a_loss(views, self.known.values[known])
+        missing = _missing_after_a_loss(views, self.survival_histories.values[history])
         if missing:
             raise InvariantViolation(missing)
         return 0
 
-    # Steps
+    # Transitions
 
-    def _steps(self, rows: Rows) -> Iterator[Rows]:
+    def _successors(self, rows: Rows) -> Iterator[Rows]:
         for (source, target), link in self.link.items():
             sent = rows[rows[:, link] != NONE]
             if len(sent):
-                yield from self._with_link(sent, source, target, link)
+                yield from self._on_link(sent, source, target, link)
         for host in self.hosts:
             alive = rows[rows[:, host] != NONE]
             if len(alive):
                 yield from self._at_host(alive, host)
 
-    def _with_link(self, rows: Rows, source: int, target: int, link: int) -> Iterator[Rows]:
+    def _on_link(self, rows: Rows, source: int, target: int, link: int) -> Iterator[Rows]:
         transition_number = self._delivery_transition(rows[:, target], rows[:, source], rows[:, link])
         after = rows.copy()
         after[:, link] = self._link_after_delivery(rows[:, link])
@@ -353,7 +360,7 @@
         if reset.any():
             after = rows[reset]
             after[:, link] = NONE
-            after[:, self.remaining] = self._reset_left(after[:, self.remaining])
+            after[:, self.remaining] = self._reset_remaining(after[:, self.remaining])
             yield after
 
     def _at_host(self, rows: Rows, host: int) -> Iterator[Rows]:
@@ -371,15 +378,15 @@
             yield self._apply_events(chosen, host, events)
 
     def _apply_events(self, rows: Rows, host: int, events: np.ndarray) -> Rows:
-        rows[:, self.remaining] = self._event_left(events)
+        rows[:, self.remaining] = self._event_remaining(events)
         clears = self._event_clears(events)
         if clears.any():
             cleared = rows[clears > 0]
             self._clear_links(cleared, host)
             rows[clears > 0] = cleared
             wiped = clears > 1
-            teller = 0 if host else 1
-            rows[wiped, self.link[teller, host]] = self._latest_record_link(rows[wiped, self.history])
+            sender = 0 if host else 1
+            rows[wiped, self.link[sender, host]] = self._latest_record_link(rows[wiped, self.history])
         return self._apply_transitions(rows, host, self._event_transition(events))
 
     def _clear_links(self, rows: Rows, host: int) -> None:
@@ -402,25 +409,25 @@
         return rows
 
     def _drop_obsolete(self, rows: Rows, host: int) -> None:
-        """A drop could make a message count again: while one may come, none is left out."""
+        """Remove obsolete messages, unless a drop may still occur, which could make them relevant again."""
         chosen = np.flatnonzero(self._keeps_obsolete(rows[:, self.remaining]) == 0)
         for other in self.hosts:
             if other == host:
                 continue
             for source, target in ((host, other), (other, host)):
                 link = self.link[source, target]
-                counting = self._relevant_link(rows[chosen, target], rows[chosen, source], rows[chosen, link])
-                rows[chosen, link] = counting
+                relevant = self._relevant_link(rows[chosen, target], rows[chosen, source], rows[chosen, link])
+                rows[chosen, link] = relevant
 
     def _check_survival(self, rows: Rows) -> None:
         group = np.zeros(len(rows), np.int64)
         for host in self.hosts:
             group = self._loss_group(group, self._loss(rows[:, host]))
-        self._loss_checked(group, self._known(rows[:, self.history]))
+        self._loss_checked(group, self._survival_history(rows[:, self.history]))
 
 
-def _known_of(history: PathHistory) -> PathHistory:
-    """What survival depends on of a past."""
+def _survival_history_of(history: PathHistory) -> PathHistory:
+    """The part of a history on which survival of a loss depends."""
     return PathHistory(acknowledged=history.acknowledged, records=history.records)
 
 
@@ -429,7 +436,7 @@
 
 
 def _chunks(layer: list[Rows]) -> Iterator[Rows]:
-    """The rows of a layer, which is emptied, in pieces of at most `CHUNK_ROWS`."""
+    """The rows of a layer in chunks of at most `CHUNK_ROWS`; empties the layer."""
     while layer:
         gathered, count = [], 0
         while layer and (not gathered or count + len(layer[-1]) <= CHUNK_ROWS):
