--- a/src/nettledeal/control/cluster_guard.py
+++ b/src/nettledeal/control/cluster_guard.py
@@ -38,5 +38,5 @@
         self._refusing_hosts.add(host)
         if self._heard_own_cluster or len(self._refusing_hosts) < MIN_REFUSING_HOSTS:
             return None
-        reason = f"{self._folder}: the disk is of cluster {own}, the core machines here are of {cluster}"
+        reason = f"{self._folder}: the disk belongs to cluster {own}, the core machines here to {cluster}"
         return ServingError(ErrorCode.FOREIGN_DATA, "join cluster", reason)
--- a/src/nettledeal/control/data_checks.py
+++ b/src/nettledeal/control/data_checks.py
@@ -27,11 +27,11 @@
 
 def findings(directory: DataDirectory) -> list[str]:
     """One line per inconsistency, starting with its location; empty for a consistent directory."""
-    found = [*directory.damage] or [*_faults_of_identity(directory)]
-    return found or [*_faults_of_configuration(directory.state), *_faults_of_entries(directory.state)]
+    found = [*directory.damage] or [*_identity_faults(directory)]
+    return found or [*_configuration_faults(directory.state), *_entry_faults(directory.state)]
 
 
-def _faults_of_identity(directory: DataDirectory) -> Iterator[str]:
+def _identity_faults(directory: DataDirectory) -> Iterator[str]:
     meta = directory.meta
     if meta is None:
         if directory.state.entries:
@@ -44,48 +44,48 @@
         yield f"meta: accepted epoch {acceptor.accepted.epoch}, which is already decided"
 
 
-def _faults_of_configuration(state: ControlState) -> Iterator[str]:
+def _configuration_faults(state: ControlState) -> Iterator[str]:
     try:
         body = state.configuration
     except ServingError as error:
         yield f"{CONFIGURATION_KEY}: {error.reason}"
         return
     try:
-        known = state.configuration_meta
+        meta = state.configuration_meta
     except msgspec.MsgspecError as error:
         yield f"{CONFIGURATION_META_KEY}: {error}"
         return
-    if body is None or known is None:
-        if body is not known:
-            yield f"{CONFIGURATION_KEY}: only one of it and {CONFIGURATION_META_KEY} is there"
+    if body is None or meta is None:
+        if body is not meta:
+            yield f"{CONFIGURATION_KEY}: only one of it and {CONFIGURATION_META_KEY} is present"
         return
-    if order_digest(body) != known.digest:
-        yield f"{CONFIGURATION_KEY}: its digest is not the one noted"
+    if order_digest(body) != meta.digest:
+        yield f"{CONFIGURATION_KEY}: its digest differs from the recorded one"
     try:
         generation = parse_configuration(body).generation
     except ServingError as error:
         yield f"{CONFIGURATION_KEY}: {error.reason}"
         return
-    if generation != known.generation:
-        yield f"{CONFIGURATION_KEY}: generation {generation}, but {known.generation} is noted"
+    if generation != meta.generation:
+        yield f"{CONFIGURATION_KEY}: generation {generation}, but {meta.generation} is recorded"
 
 
-def _faults_of_entries(state: ControlState) -> Iterator[str]:
-    of_tenancy: Callable[[str], bool] = _is_not_known
+def _entry_faults(state: ControlState) -> Iterator[str]:
+    is_tenancy_key: Callable[[str], bool] = _always_unknown
     if TENANTS_KEY in state.entries:
         from nettledeal.tenancy.inspection import faults_of_tenancy, is_of_tenancy
 
         yield from faults_of_tenancy(state.entries)
-        of_tenancy = is_of_tenancy
+        is_tenancy_key = is_of_tenancy
     for key, value in state.entries.items():
         if key.startswith(ACCEPTED_PREFIX):
             if len(value) != _SEQUENCE_BYTES or int.from_bytes(value, "big") > state.sequence:
-                yield f"{key}: accepted at no sequence up to {state.sequence}"
-        elif not _is_known(key) and not of_tenancy(key):
+                yield f"{key}: not accepted at any sequence up to {state.sequence}"
+        elif not _is_known(key) and not is_tenancy_key(key):
             yield f"{key}: unknown key"
 
 
-def _is_not_known(_: str) -> bool:
+def _always_unknown(_: str) -> bool:
     return False
 
 
--- a/src/nettledeal/control/effect_executor.py
+++ b/src/nettledeal/control/effect_executor.py
@@ -19,7 +19,7 @@
         self.local_messages: deque[Message] = deque()
         self.pending_calls: dict[int, AsyncResult] = {}
         self._own_host, self._writer, self._mesh = own_host, writer, mesh
-        self._synced = 0
+        self._synced_write = 0
         self._waiting_sends: deque[Send] = deque()
 
     def execute(self, effects: Effects) -> None:
@@ -28,7 +28,7 @@
             self._writer.enqueue(number, write)
         self._send_released()
         for send in effects.sends:
-            if send.after_write <= self._synced:
+            if send.after_write <= self._synced_write:
                 self._send(send)
             else:
                 self._waiting_sends.append(send)
@@ -38,11 +38,11 @@
 
     def on_synced(self, number: int) -> None:
         """Writes up to `number` are on the disk: send the messages that waited for them."""
-        self._synced = number
+        self._synced_write = number
         self._send_released()
 
     def _send_released(self) -> None:
-        while self._waiting_sends and self._waiting_sends[0].after_write <= self._synced:
+        while self._waiting_sends and self._waiting_sends[0].after_write <= self._synced_write:
             self._send(self._waiting_sends.popleft())
 
     def _send(self, send: Send) -> None:
--- a/src/nettledeal/control/elections.py
+++ b/src/nettledeal/control/elections.py
@@ -111,12 +111,12 @@
         grace_over = proposer.majority_at is not None and (
             now - proposer.majority_at >= self.timing.majority_grace_s
         )
-        if proposer.proposal is None and (grace_over or self._all_promised()):
+        if proposer.proposal is None and (grace_over or self._choice_is_final()):
             self._enter_second_phase(now)
         elif now >= self._next_resend_at:
             self._request_votes(now)
 
-    def _all_promised(self) -> bool:
+    def _choice_is_final(self) -> bool:
         """Whether further promises can't change the chosen record."""
         proposer = self.proposer
         if isinstance(proposer.choose, FixedChoice):
@@ -146,7 +146,7 @@
         else:
             reply = self.acceptor.accept(message)
         if self.acceptor.state is not before:
-            self._save_witness()
+            self._save_acceptor_state()
         if reply is not None:
             self.outbox.send_synced(sender.host, reply)
 
@@ -166,7 +166,7 @@
             return
         if isinstance(message, Promise):
             proposer.on_promise(now, sender.replica_id, message)
-            if self._all_promised():
+            if self._choice_is_final():
                 self._enter_second_phase(now)
         elif isinstance(message, Accepted):
             record = proposer.on_accepted(sender.replica_id, message)
--- a/src/nettledeal/control/replica.py
+++ b/src/nettledeal/control/replica.py
@@ -246,7 +246,7 @@
         deposed = self.record.primary if self.record is not None else ""
         if not self.acceptor.learn(record):
             return
-        self._own_record_writes.append((self._save_witness(), record.epoch))
+        self._own_record_writes.append((self._save_acceptor_state(), record.epoch))
         if self.proposer is not None and self.proposer.epoch <= record.epoch:
             self.proposer = None
         earlier, self.primary = self.primary, None
@@ -308,7 +308,7 @@
             self.primary.advance_commits(now)
             self.primary.announce_release(now)
 
-    def _save_witness(self) -> int:
+    def _save_acceptor_state(self) -> int:
         return self.outbox.write(SaveAcceptorState(self.acceptor.state))
 
     def _on_hello(self, now: float, sender: ReplicaInfo, message: Hello) -> None:
