--- a/src/nettledeal/control/primary.py
+++ b/src/nettledeal/control/primary.py
@@ -261,7 +261,7 @@
             self.record.epoch,
             self._heartbeat_number,
             self._replicated.committed_sequence,
-            self._age_ms(now),
+            self._confirmed_age_ms(now),
             appointment.reader,
             appointment.number,
             appointment.incarnation,
@@ -272,7 +272,7 @@
             if not self.acting and name not in self._record_holders:
                 self._send(peer, Decided(self.record))
 
-    def _age_ms(self, now: float) -> int:
+    def _confirmed_age_ms(self, now: float) -> int:
         if self.lacks_majority(now):
             return -1
         return int(min(now - self.confirmed_at, 3600.0) * 1000)
--- a/src/nettledeal/control/timing.py
+++ b/src/nettledeal/control/timing.py
@@ -6,8 +6,8 @@
 
 from nettledeal.common.settings import Bounds
 
-HEARTBEAT_S = 0.25
-SILENCE_BOUND_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.25
+MAX_SILENCE_S = 1.0
 SILENCE_SHARE_OF_ACK = 0.2
 SILENCE_SHARE_OF_CONTACT = 0.25
 
@@ -20,8 +20,8 @@
     random delay of up to `retry_jitter_s`.
     """
 
-    heartbeat_interval_s: float = HEARTBEAT_S
-    silence_s: float = SILENCE_BOUND_S
+    heartbeat_interval_s: float = HEARTBEAT_INTERVAL_S
+    silence_s: float = MAX_SILENCE_S
     retry_jitter_s: float = 0.5
     election_stagger_s: float = 0.125
     ballot_timeout_s: float = 0.8
@@ -36,12 +36,12 @@
 def timing_for(bounds: Bounds) -> Timing:
     """Durations that allow a failover to complete within the acknowledgement bound."""
     silence = min(
-        SILENCE_BOUND_S,
+        MAX_SILENCE_S,
         bounds.ack_ms / 1000 * SILENCE_SHARE_OF_ACK,
         bounds.contact_ms / 1000 * SILENCE_SHARE_OF_CONTACT,
     )
     return Timing(
-        heartbeat_interval_s=min(HEARTBEAT_S, silence / 4),
+        heartbeat_interval_s=min(HEARTBEAT_INTERVAL_S, silence / 4),
         silence_s=silence,
         retry_jitter_s=silence / 2,
         election_stagger_s=silence / 8,
--- a/tests/system/control_rehearsal.py
+++ b/tests/system/control_rehearsal.py
@@ -448,7 +448,7 @@
             self.violations.append(f"a read of {state.sequence} lacks acknowledged orders {missing}")
 
 
-ANSWERS = {
+ANSWER_BY_OUTCOME = {
     Outcome.ACCEPTED: Answer.ACKNOWLEDGED,
     Outcome.CONFLICT: Answer.REFUSED,
     Outcome.INVALID: Answer.REFUSED,
@@ -509,7 +509,7 @@
         self.world.history.puts.append(_put(order.command, began, FOREVER, Answer.UNCLEAR))
 
         def on_answer(result: Outcome | ErrorCode) -> None:
-            answer = ANSWERS.get(result, Answer.UNCLEAR)
+            answer = ANSWER_BY_OUTCOME.get(result, Answer.UNCLEAR)
             self.world.history.puts[position] = _put(order.command, began, self.world.now, answer)
             self._on_answer(order, result)
 
--- a/tests/system/test_operator_api_schedules.py
+++ b/tests/system/test_operator_api_schedules.py
@@ -189,8 +189,8 @@
 
 def test_many_changes_leave_no_more_than_their_bound(monkeypatch):
     kept, pruned_at_once, log_length = 100, 20, 50
-    monkeypatch.setattr(decisions_module, "ACCEPTED_KEPT", kept)
-    monkeypatch.setattr(decisions_module, "PRUNED_AT_ONCE", pruned_at_once)
+    monkeypatch.setattr(decisions_module, "MAX_ACCEPTED_ORDERS", kept)
+    monkeypatch.setattr(decisions_module, "PRUNE_BATCH", pruned_at_once)
     node = MemoryNode()
     api = OperatorApi(node, "10.0.0.1:8166", lambda: ZONES)
     source = PublishedSource("control", log_length)
