--- a/src/nettledeal/dataplane/readiness.py
+++ b/src/nettledeal/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's own check: `GET /readyz` at a separate address; `GET /tenants` where there are tenants."""
+"""Readiness check for the platform: `GET /readyz` at a separate address, and `GET /tenants`, if any."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 from nettledeal.common.addresses import Address
 from nettledeal.common.connections import listening_socket
-from nettledeal.dataplane.answers import own_answer
+from nettledeal.dataplane.response_heads import agent_response
 
-PATH = b"/readyz"
+READY_PATH = b"/readyz"
 TENANTS_PATH = b"/tenants"
 MAX_REQUEST_BYTES = 4096
 TIMEOUT_S = 5.0
 
 
 class ReadinessServer:
-    """Answers 200 while `is_ready` says so, else 503; `tenants_page` gives counts by tenant, if any."""
+    """Responds 200 while `is_ready()`, else 503; `tenants_page` returns counts per tenant, if any."""
 
     def __init__(self, is_ready: Callable[[], bool], tenants_page: Callable[[], bytes | None] = lambda: None):
         self.is_ready = is_ready
@@ -67,10 +67,10 @@
         path = words[1].partition(b"?")[0] if len(words) == 3 else b""
         page = self.tenants_page() if path == TENANTS_PATH else None
         if page is not None:
-            return own_answer(HTTPStatus.OK, body=page)
-        return own_answer(self._status(path))
+            return agent_response(HTTPStatus.OK, body=page)
+        return agent_response(self._status(path))
 
     def _status(self, path: bytes) -> HTTPStatus:
-        if path != PATH:
+        if path != READY_PATH:
             return HTTPStatus.NOT_FOUND
         return HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -18,9 +18,9 @@
 from nettledeal.control.decisions import decide
 from nettledeal.control.messages import EpochRecord
 from nettledeal.control.state import ChangeShares, ControlState, Outcome, ShareChange
-from nettledeal.dataplane.budgets import BudgetTerms, EqualShare, LeasedShare, RetryBudget
+from nettledeal.dataplane.retry_budget import BudgetTerms, EqualShare, LeasedShare, RetryBudget
 from nettledeal.dataplane.selection.model import ServiceProfile, Tuning
-from nettledeal.dataplane.selection.warmup import MembersSeen, WarmupShares
+from nettledeal.dataplane.selection.warmup import RecentMembers, WarmupShares
 from nettledeal.membership.node import ASSUMED_BEFORE_JOINING, MemberInfo
 from nettledeal.programs.share_loop import ShareLoop
 from nettledeal.shares import lease, roster_updater
@@ -33,7 +33,7 @@
 MODEL = ServiceProfile("model", warmup_s=3.0, warmup_per_s=20.0)
 TUNING = Tuning()
 WARMUP_BOUND = MODEL.warmup_per_s * TUNING.warmup.overage + TUNING.warmup.slack
-SILENCE_S = 2.0  # until members on the primary's side consider isolated ones dead
+DEATH_DETECTION_S = 2.0  # until members on the primary's side consider isolated ones dead
 MAX_DELAY_S = 2.0  # of a roster and its confirmation on the way to an agent
 COLD_BACKENDS = ("b1", "b2")
 MIN_FAULT_GAP_S = 5.5  # at most two kills in one window of the budget
@@ -63,7 +63,7 @@
         self.equal = EqualShare()
         self.equal.set_members(ASSUMED_BEFORE_JOINING, self.clock(now))
         self.budget = RetryBudget(TERMS, LeasedShare(self.lease, window_s, self.equal))
-        self.warmup = WarmupShares(TUNING, MembersSeen(TUNING))
+        self.warmup = WarmupShares(TUNING, RecentMembers(TUNING))
         self.warmup.lease = self.lease
 
     def clock(self, now: float) -> float:
@@ -117,7 +117,7 @@
         members = {
             agent.name
             for agent in self.agents.values()
-            if not agent.isolated or self.now < agent.cut_since + SILENCE_S
+            if not agent.isolated or self.now < agent.cut_since + DEATH_DETECTION_S
         }
         changes = self.roster_updater.review(self.now, self.epoch, members, shares_in(self.state.entries))
         if changes:
@@ -309,7 +309,7 @@
     agent = Agent("a", 0.0, 1.0, 0.0)
     assert not agent.lease.has_roster
     share = agent.budget.share
-    share.without_roster.set_members(4, 0.0)
+    share.fallback.set_members(4, 0.0)
     assert share.amount("model", 40.0, 100.0) == 10.0
     agent.lease.update_roster(roster_in({"share/b": b"g"}))
     assert share.amount("model", 40.0, 100.0) == 0.0
