--- a/tests/system/test_shares.py
+++ b/tests/system/test_shares.py
@@ -235,7 +235,7 @@
     system.isolated_spent = 0
     system.run(60.0)
     assert (system.isolated_spent > 0) == (
-        TERMS.slack * TERMS.slack_margin * lease.ISOLATED_FRACTION >= count
+        TERMS.slack * TERMS.slack_safety_factor * lease.ISOLATED_FRACTION >= count
     )
     system.heal()
     system.run(2 * roster_updater.GRANT_EXPIRED_AFTER_S)
