--- a/experiments/control_bounds.py
+++ b/experiments/control_bounds.py
@@ -4,7 +4,7 @@
     python3 experiments/control_bounds.py [NUMBER...] [--states N] [--memory-mb MB]
 
 tells of each bound the states that it has, whether they were all, seconds and memory; ends with 1 if a
-promise was broken. `tests/system/control_exploring.py` says what a state is and which reductions are made.
+promise was broken. `tests/system/control_explorer.py` says what a state is and which reductions are made.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "src")]
 
-from tests.system.control_exploring import COMPLETE_BOUNDS, Bounds  # noqa: E402
-from tests.system.vector_exploring import VectorExplorer, used_mebibytes  # noqa: E402
+from tests.system.control_explorer import COMPLETE_BOUNDS, Bounds  # noqa: E402
+from tests.system.control_vectorized_explorer import VectorExplorer, used_mebibytes  # noqa: E402
 
 MAX_STATES = 1_000_000_000
 MAX_MEMORY_MB = 4000.0
--- a/experiments/control_schedules.py
+++ b/experiments/control_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of the control state's worst days, many at once, on one version of the sources.
+"""Seeded schedules of the control state with severe faults, many at once, on one version of the sources.
 
     python3 experiments/control_schedules.py run SHAPE SEEDS [--processes N] [--results FILE]
     python3 experiments/control_schedules.py status [--results FILE]
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "src")]
 
-from tests.system.control_worst_days import SHAPES, run_worst_day  # noqa: E402
+from tests.system.control_severe_faults import SHAPES, run_severe_schedule  # noqa: E402
 
 CHUNK = 50
 PROGRESS_EVERY_S = 20.0
@@ -121,7 +121,7 @@
     began = time.process_time()
     broken = []
     for seed in range(chunk.first, chunk.first + chunk.count):
-        found = run_worst_day(seed, SHAPES[chunk.shape])
+        found = run_severe_schedule(seed, SHAPES[chunk.shape])
         if found:
             broken.append(Broken(seed, "; ".join(found[:3])))
     return chunk, time.process_time() - began, broken
--- a/tests/system/control_exploring.py
+++ b/tests/system/control_explorer.py
@@ -8,7 +8,7 @@
 Two reductions limit the number of states. Only the latest heartbeat and the latest answer on a link are kept.
 Messages are dropped as soon as they can no longer have any effect.
 
-`vector_exploring` and `experiments/control_bounds.py` explore complete bounds, many states at a time.
+`control_vectorized_explorer` and `experiments/control_bounds.py` explore complete bounds in large batches.
 """
 
 from __future__ import annotations
@@ -24,7 +24,14 @@
 from nettledeal.control.messages import Decided, EpochRecord, ReplicaInfo
 from nettledeal.control.replica import Replica
 from nettledeal.control.state import ACCEPTED_PREFIX, ControlState, Outcome, PutConfiguration
-from tests.system.exploring_replicas import TOLERANCE, Event, ExploredReplica, ReplicaStates, Transition, View
+from tests.system.replica_transitions import (
+    TOLERANCE,
+    Event,
+    ExploredReplica,
+    ReplicaStates,
+    Transition,
+    View,
+)
 
 ENDED = None
 
--- a/tests/system/control_worst_days.py
+++ b/tests/system/control_severe_faults.py
@@ -50,7 +50,7 @@
 }
 
 
-class WorstDay(World):
+class SevereFaultWorld(World):
     """A world whose machines have their own clocks, lose some answers and may have a CPU quota."""
 
     def __init__(self, seed: object, shape: Shape, replica_type: Callable[..., Replica] = Replica):
@@ -93,10 +93,10 @@
         super()._call(machine, (lambda result: None) if lost else on_done, start_call)
 
 
-class WorstFaults(FaultInjector):
+class SevereFaultInjector(FaultInjector):
     """The faults of `FaultInjector` plus the more severe ones."""
 
-    def __init__(self, world: WorstDay, until: float):
+    def __init__(self, world: SevereFaultWorld, until: float):
         super().__init__(world, until)
         if self.random.random() < LONG_CUT_PROBABILITY:
             world.at(1.0 + 2.0 * self.random.random(), self._long_cut)
@@ -141,14 +141,16 @@
         self.world.quotas[machine.host] = quota
 
 
-def run_worst_day(seed: object, shape: Shape, replica_type: Callable[..., Replica] = Replica) -> list[str]:
+def run_severe_schedule(
+    seed: object, shape: Shape, replica_type: Callable[..., Replica] = Replica
+) -> list[str]:
     """Play the schedule of a seed; returns the violations.
 
     After the faults everything has to be settled within `SETTLE_S`; the run ends as soon as it is.
     """
-    world = WorstDay(seed, shape, replica_type)
+    world = SevereFaultWorld(seed, shape, replica_type)
     clients = [Client(world, f"c{number}", LENGTH_S + LONG_CUT_S + SETTLE_S) for number in range(3)]
-    WorstFaults(world, LENGTH_S)
+    SevereFaultInjector(world, LENGTH_S)
     world.run(LENGTH_S)
     if world.violations or world.history.faults():
         return world.violations + world.history.faults()
@@ -163,12 +165,12 @@
     return found + world.history.faults()
 
 
-def _heal_all(world: WorstDay) -> None:
+def _heal_all(world: SevereFaultWorld) -> None:
     world.quotas.clear()
     heal(world)
 
 
-def _unfinished(world: WorstDay, clients: list[Client], before: int) -> list[str]:
+def _unfinished(world: SevereFaultWorld, clients: list[Client], before: int) -> list[str]:
     found = settled(world)
     if not found and sum(client.answer_count for client in clients) == before:
         found.append("no order was answered after the faults ended")
--- a/tests/system/vector_exploring.py
+++ b/tests/system/control_vectorized_explorer.py
@@ -1,4 +1,4 @@
-"""Vectorized version of the explorer in `control_exploring`.
+"""Vectorized version of the explorer in `control_explorer`.
 
 That module computes and numbers every transition of a replica once, so a state is a row of small numbers and
 a transition a table lookup, done here for hundreds of thousands of rows at once. Of visited states only a
@@ -18,7 +18,7 @@
 
 from nettledeal.control.messages import Decided
 from nettledeal.control.replica import Replica
-from tests.system.control_exploring import (
+from tests.system.control_explorer import (
     Bounds,
     Exploration,
     Explorer,
@@ -26,7 +26,7 @@
     _missing_after_a_loss,
     record_answers,
 )
-from tests.system.exploring_replicas import ExploredReplica, Transition, View
+from tests.system.replica_transitions import ExploredReplica, Transition, View
 
 Rows = np.ndarray
 CHUNK_ROWS = 200_000
--- a/tests/system/test_control_exploring.py
+++ b/tests/system/test_control_explorer.py
@@ -13,9 +13,9 @@
 from nettledeal.control.primary import Primary
 from nettledeal.control.replica import Replica
 from nettledeal.control.state import Change, ControlState
-from tests.system.control_exploring import Bounds, Explorer
-from tests.system.exploring_replicas import ExploredReplica
-from tests.system.vector_exploring import VectorExplorer
+from tests.system.control_explorer import Bounds, Explorer
+from tests.system.control_vectorized_explorer import VectorExplorer
+from tests.system.replica_transitions import ExploredReplica
 
 MAX_STATES = 4000
 MAX_MEMORY_MB = 4000.0
--- a/tests/system/test_control_fences.py
+++ b/tests/system/test_control_fencing.py
@@ -12,13 +12,13 @@
 
 from nettledeal.control.messages import Append, Heartbeat, Message, Ranges, Reconcile
 from nettledeal.control.replica import Replica
-from tests.system.control_worst_days import SHAPES, Shape, WorstDay, WorstFaults
+from tests.system.control_severe_faults import SHAPES, SevereFaultInjector, SevereFaultWorld, Shape
 
 FENCED = (Append, Heartbeat, Ranges, Reconcile)
 LENGTH_S = 25.0
 
 
-class FencedDay(WorstDay):
+class FencedWorld(SevereFaultWorld):
     """Records messages of a primary whose epoch is lower than the one that their sender knows."""
 
     def __init__(self, seed: object, shape: Shape, replica_type: type[Replica] = Replica):
@@ -36,11 +36,11 @@
 
 
 def stale_messages(seed: int, shape: Shape, replica_type: type[Replica] = Replica) -> list[str]:
-    day = FencedDay(seed, shape, replica_type)
-    WorstFaults(day, LENGTH_S)
-    day.run(LENGTH_S)
-    assert day.fenced_count > 0
-    return day.stale
+    world = FencedWorld(seed, shape, replica_type)
+    SevereFaultInjector(world, LENGTH_S)
+    world.run(LENGTH_S)
+    assert world.fenced_count > 0
+    return world.stale
 
 
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
--- a/tests/system/test_control_rehearsal.py
+++ b/tests/system/test_control_rehearsal.py
@@ -24,7 +24,7 @@
 from nettledeal.control.replica import Replica
 from nettledeal.control.state import ControlState, Outcome, PutConfiguration
 from tests.system.control_rehearsal import FaultInjector, World, run_schedule, settled
-from tests.system.control_worst_days import SHAPES, run_worst_day
+from tests.system.control_severe_faults import SHAPES, run_severe_schedule
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -255,16 +255,16 @@
 
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
 @pytest.mark.parametrize("seed", range(4))
-def test_the_worst_days_violate_no_invariant(seed, shape):
+def test_severe_faults_violate_no_invariant(seed, shape):
     """A small fixed selection; `experiments/control_schedules.py` plays all schedules."""
-    assert run_worst_day(seed, shape) == []
+    assert run_severe_schedule(seed, shape) == []
 
 
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
 @pytest.mark.parametrize("replica_type", PLANTED, ids=lambda kind: kind.__name__)
-def test_a_planted_bug_is_detected_on_the_worst_days(replica_type, shape):
+def test_a_planted_bug_is_detected_under_severe_faults(replica_type, shape):
     for seed in range(60):
         KeepsIdentityAfterWipe.identities_by_host.clear()
-        if safety_violations(run_worst_day(seed, shape, replica_type)):
+        if safety_violations(run_severe_schedule(seed, shape, replica_type)):
             return
     pytest.fail(f"{replica_type.__name__} was not detected")
--- a/tests/system/test_processor_quotas.py
+++ b/tests/system/test_processor_quotas.py
@@ -1,7 +1,7 @@
 """Machines whose processor is a quota: full speed until it is spent, then nothing for the rest of 0.1 s.
 
 What goes by silence must not take such a machine for a lost one: members, leases of the control state, the
-in-sync set. (Schedules of the control state with quotas: `control_worst_days`, shape six-serving.)
+in-sync set. (Schedules of the control state with quotas: `control_severe_faults`, shape six-serving.)
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import pytest
 
 from nettledeal.membership.view import State
-from tests.system.control_worst_days import SHAPES, WorstDay
+from tests.system.control_severe_faults import SHAPES, SevereFaultWorld
 from tests.system.simulated_members import CORES, Group
 
 SPAN_S = 60.0
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
 @pytest.mark.parametrize("quota", LOW_QUOTAS)
 def test_the_primary_and_the_in_sync_set_stay(quota, shape):
-    world = WorstDay("quota", shape)
+    world = SevereFaultWorld("quota", shape)
     world.run(6.0)
     before = world.primary().replica.record
     for machine in world.machines.values():
