--- a/src/nettledeal/admin_orders.py
+++ b/src/nettledeal/admin_orders.py
@@ -56,7 +56,7 @@
         if not call(backend):
             raise Refused("no such backend")
         if self.peers is not None:
-            self.peers.ordered(backend, out)
+            self.peers.publish_order(backend, out)
         # It is in force once it is in all processes that are this agent.
         if not self.siblings.confirm(backend, out):
             raise Refused("in force in this process, not confirmed by the other one yet")
--- a/src/nettledeal/agent.py
+++ b/src/nettledeal/agent.py
@@ -219,7 +219,7 @@
         log.info("stopping", open=len(self.router.open), heir=heir)
         self.siblings.handover.me.state = LEAVING
         if self.peers is not None:
-            self.peers.end(heir)
+            self.peers.stop(heir)
         end = self.clock.now() + int(max(self.router.intake.waits.values(), default=SECOND) + LINGER * SECOND)
         if heir:
             self._give_way(end)
--- a/src/nettledeal/membership/__init__.py
+++ b/src/nettledeal/membership/__init__.py
@@ -1,7 +1,8 @@
-"""Who of the agents lives: SWIM with Lifeguard, as their public papers give them.
+"""Group membership of the agents: SWIM with the Lifeguard extensions, as in the published papers.
 
-`view` merges news, `rumours` spreads it, `member` is the protocol, `census` draws from it what others go by;
-all of them pure: time, chance and messages are handed in, so one code runs on sockets, in seeded schedules
-and in tests. `host` puts them on loopback or a network: UDP and TCP at an address of their own. Nothing here
-knows of work items, backends or routing, and an agent without the key `membership` loads none of it.
+`view` merges updates, `piggyback` queues them for dissemination, `member` is the protocol, and `stable_view`
+derives the fleet size that agents act on. All of these are free of I/O: time, randomness and messages are
+passed in, so the same code runs on sockets, in seeded simulations and in tests. `host` runs a member on UDP
+and TCP sockets at an address of its own. Nothing here depends on requests, backends or routing, and an agent
+without the setting `membership` loads none of it.
 """
--- a/src/nettledeal/membership/__main__.py
+++ b/src/nettledeal/membership/__main__.py
@@ -1,8 +1,11 @@
-"""A member by itself, without an agent: `python -m nettledeal.membership`, told by one line of JSON on
-standard input. It writes each change of state as a line of JSON on standard output, and answers lines that
-ask: `members`, `order SUBJECT out|in`, `forget NAME`, `late SECONDS` (its loop stands still for so long),
-`lose SHARE` (of the datagrams that it sends), `leave`. For tests and measurements of many members; its end
-is that of its standard input.
+"""A member as a process of its own, without an agent: `python -m nettledeal.membership`. For tests and
+measurements of many members.
+
+The first line of standard input is a JSON object with the start options. Each change of state is written to
+standard output as a line of JSON. The following lines of input are commands, each answered by a line of JSON:
+`members`, `digest`, `order SUBJECT out|in`, `forget NAME`, `late SECONDS` (block the event loop for that
+long), `lose SHARE` (drop that share of the datagrams sent), `jump SECONDS` (move the clock); `leave` ends the
+process without an answer, as does the end of the input.
 """
 
 from __future__ import annotations
@@ -19,14 +22,14 @@
 import structlog
 from gevent.fileobject import FileObject
 
-from nettledeal.membership.host import Host, spoken
+from nettledeal.membership.actions import MemberChanged, NameConflict, OrderReceived, SendDatagram, Timing
+from nettledeal.membership.host import Host, state_name
 from nettledeal.membership.member import Member
-from nettledeal.membership.steps import Changed, Ordered, Send, Timing, Usurped
 from nettledeal.net.address import parsed
 from nettledeal.net.clock import SECOND, Clock
 
 
-class Told(msgspec.Struct, forbid_unknown_fields=True):
+class StartOptions(msgspec.Struct, forbid_unknown_fields=True):
     name: str
     listen: str
     seeds: list[str]
@@ -34,115 +37,122 @@
     cluster: str = "fleet"
     timing: dict[str, int] = {}
     seed: int = 0
-    place: int = 0
-    ahead: float = 0.0  # seconds that its clock is before the others'
+    place: int = 0  # number of the member's zone
+    ahead: float = 0.0  # seconds by which its clock is ahead of the others'
 
 
-def say(**what: object) -> None:
-    sys.stdout.write(msgspec.json.encode({"at": time.monotonic_ns() // 100_000} | what).decode() + "\n")
+def write_line(**fields: object) -> None:
+    sys.stdout.write(msgspec.json.encode({"at": time.monotonic_ns() // 100_000} | fields).decode() + "\n")
     sys.stdout.flush()
 
 
-def heard(act: Changed | Ordered | Usurped) -> None:
-    if isinstance(act, Changed):
-        word = act.word
-        say(
+def report(action: MemberChanged | OrderReceived | NameConflict) -> None:
+    if isinstance(action, MemberChanged):
+        record = action.record
+        write_line(
             said="changed",
-            member=word.name,
-            state=spoken(word.state),
-            by=word.by,
-            life=word.life,
-            before=None if act.before is None else spoken(act.before),
+            member=record.name,
+            state=state_name(record.state),
+            by=record.accuser,
+            life=record.started_at,
+            before=None if action.previous_state is None else state_name(action.previous_state),
         )
-    elif isinstance(act, Ordered):
-        say(said="ordered", subject=act.order.subject, out=act.order.out)
+    elif isinstance(action, OrderReceived):
+        write_line(said="ordered", subject=action.order.subject, out=action.order.cordoned)
     else:
-        say(said="usurped", at_place=act.word.host)
+        write_line(said="usurped", at_place=action.record.host)
 
 
-class Lossy(Host):
-    """Loses so many of the datagrams that it sends: a switch between hundreds of members is too slow for
-    them."""
+class LossyHost(Host):
+    """Drops a share of the datagrams that it sends. Between hundreds of members, a relay process that drops
+    them would be too slow."""
 
     loss = 0.0
-    chance = Random(1)
+    rng = Random(1)
 
-    def _send(self, act: Send) -> None:
-        if self.chance.random() >= self.loss:
-            super()._send(act)
+    def _send_datagram(self, action: SendDatagram) -> None:
+        if self.rng.random() >= self.loss:
+            super()._send_datagram(action)
 
 
 def main() -> None:
-    # Standard output is for what is asked.
+    # Log lines go to standard error; standard output is for reports and answers.
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger("warning"),
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
     )
     lines = FileObject(sys.stdin.buffer, "rb", close=False)
-    told = msgspec.json.decode(lines.readline(), type=Told)
+    options = msgspec.json.decode(lines.readline(), type=StartOptions)
     clock, counts = Clock(), Counter()
-    clock.offset += int(told.ahead * 1e9)
-    listen = parsed(told.listen)
+    clock.offset += int(options.ahead * 1e9)
+    listen = parsed(options.listen)
     member = Member(
-        told.name,
-        parsed(told.advertise or told.listen),
-        told.cluster,
-        map(parsed, told.seeds),
-        Timing(**told.timing),
-        Random(told.seed),
+        options.name,
+        parsed(options.advertise or options.listen),
+        options.cluster,
+        map(parsed, options.seeds),
+        Timing(**options.timing),
+        Random(options.seed),
         clock.now(),
-        told.place,
+        options.place,
+    )
+    host = LossyHost(
+        member, listen, clock.now, report, lambda name: counts.update([name]), structlog.get_logger()
     )
-    host = Lossy(member, listen, clock.now, heard, lambda what: counts.update([what]), structlog.get_logger())
     host.start()
     for line in iter(lines.readline, b""):
-        word, *rest = line.decode().split()
-        match word:
+        command, *arguments = line.decode().split()
+        match command:
             case "members":
-                words = [
-                    {"name": w.name, "state": spoken(w.state), "life": w.life, "incarnation": w.incarnation}
-                    for w in sorted([*member.view.words.values(), member.me], key=lambda w: w.name)
+                records = [
+                    {
+                        "name": r.name,
+                        "state": state_name(r.state),
+                        "life": r.started_at,
+                        "incarnation": r.incarnation,
+                    }
+                    for r in sorted([*member.view.records.values(), member.own_record], key=lambda r: r.name)
                 ]
                 health = msgspec.to_builtins(member.health)
-                say(
+                write_line(
                     said="members",
-                    members=words,
+                    members=records,
                     joined=member.joined,
                     health=health,
                     counts=counts,
-                    orders={o.subject: o.out for o in member.view.orders.values()},
+                    orders={o.subject: o.cordoned for o in member.view.orders.values()},
                     silent=member.silent,
-                    sent=host.sent,
-                    bytes=host.bytes,
+                    sent=host.messages_sent,
+                    bytes=host.bytes_sent,
                     cpu=time.process_time(),
                 )
             case "digest":
-                # Equal views have equal digests, for groups whose views are too long to compare.
-                view = str(sorted((w.name, w.life, int(w.state)) for w in member.live()))
-                say(
+                # Equal views have equal digests; for groups whose views are too long to compare in full.
+                view = str(sorted((r.name, r.started_at, int(r.state)) for r in member.live_members()))
+                write_line(
                     said="digest",
-                    live=len(member.live()),
+                    live=len(member.live_members()),
                     digest=crc32(view.encode()),
                     joined=member.joined,
-                    sent=host.sent,
-                    bytes=host.bytes,
+                    sent=host.messages_sent,
+                    bytes=host.bytes_sent,
                     cpu=time.process_time(),
                     health=member.health,
                 )
             case "order":
-                host.order(rest[0], rest[1] == "out")
-                say(said="done")
+                host.issue_order(arguments[0], arguments[1] == "out")
+                write_line(said="done")
             case "forget":
-                say(said="done", known=host.forget(rest[0]))
+                write_line(said="done", known=host.forget(arguments[0]))
             case "late":
-                time.sleep(float(rest[0]))  # the whole loop, on purpose
-                say(said="done")
+                time.sleep(float(arguments[0]))  # blocks the whole event loop on purpose
+                write_line(said="done")
             case "lose":
-                host.loss = float(rest[0])
-                say(said="done")
+                host.loss = float(arguments[0])
+                write_line(said="done")
             case "jump":
-                clock.offset += int(float(rest[0]) * SECOND) * 100_000
-                say(said="done")
+                clock.offset += int(float(arguments[0]) * SECOND) * 100_000
+                write_line(said="done")
             case "leave":
                 host.leave()
                 gevent.sleep(0.05)
--- a/src/nettledeal/membership/cbor_codec.py
+++ b/src/nettledeal/membership/cbor_codec.py
@@ -5,26 +5,26 @@
 import cbor2
 import msgspec
 
-from nettledeal.membership.packets import Packet, Refusal, checked, of_another_version
-from nettledeal.membership.view import Order, Word
+from nettledeal.membership.packets import Packet, PacketError, has_other_version, validated
+from nettledeal.membership.view import MemberRecord, OperatorOrder
 
 
 class CborCodec:
-    """One CBOR array per packet; refuses what cannot be read as a whole."""
+    """One CBOR array per packet. A packet that can't be decoded as a whole is rejected."""
 
-    def encode(self, value: Packet | Word | Order) -> bytes:
-        """The bytes of a packet, or of a part of one to know its size."""
+    def encode(self, value: Packet | MemberRecord | OperatorOrder) -> bytes:
+        """Encode a packet, or a part of one to learn its size."""
         return cbor2.dumps(msgspec.to_builtins(value))
 
-    def decode(self, raw: bytes, cluster: str, most: int) -> Packet:
-        """Raises Refusal; `most` is the largest size in bytes."""
-        if len(raw) > most:
-            raise Refusal("oversized")
+    def decode(self, raw: bytes, cluster: str, max_bytes: int) -> Packet:
+        """Decode and validate a packet of at most `max_bytes`. Raises PacketError."""
+        if len(raw) > max_bytes:
+            raise PacketError("oversized")
         try:
-            found = cbor2.loads(raw)
+            decoded = cbor2.loads(raw)
         except (cbor2.CBORDecodeError, ValueError, TypeError, RecursionError):
-            raise Refusal("garbled") from None
+            raise PacketError("garbled") from None
         try:
-            return checked(msgspec.convert(found, Packet), cluster)
+            return validated(msgspec.convert(decoded, Packet), cluster)
         except (msgspec.ValidationError, TypeError, RecursionError):
-            raise Refusal("another version" if of_another_version(found) else "garbled") from None
+            raise PacketError("another version" if has_other_version(decoded) else "garbled") from None
--- a/src/nettledeal/membership/health.py
+++ b/src/nettledeal/membership/health.py
@@ -1,25 +1,26 @@
-"""Local health awareness, as Lifeguard has it: how far a member trusts its own conclusions."""
+"""Local health awareness, as in Lifeguard: how far a member trusts its own failure detection."""
 
 from __future__ import annotations
 
 import msgspec
 
-# How ill a member may take itself to be: its patience grows by as many times.
-MOST_ILL = 8
+# Upper limit of the local health score; timeouts are multiplied by one more than the score.
+MAX_SCORE = 8
 
 
-class Health(msgspec.Struct):
-    """Lifeguard's own-health score, and counts that operators and tests look at."""
+class LocalHealth(msgspec.Struct):
+    """Lifeguard's local health score, and counters for operators and tests. Zero is healthy."""
 
-    ill: int = 0
-    late: int = 0  # times that it was late itself
-    accused: int = 0  # suspicions that it has begun
-    refuted: int = 0  # suspicions of itself
-    declared: int = 0  # deaths that it was the first to tell
-    refused: dict[str, int] = {}  # messages and news, by why
+    score: int = msgspec.field(default=0, name="ill")
+    late_wakeups: int = msgspec.field(default=0, name="late")  # the member itself ran late
+    suspicions_started: int = msgspec.field(default=0, name="accused")
+    refutations: int = msgspec.field(default=0, name="refuted")  # of suspicions of this member
+    deaths_declared: int = msgspec.field(default=0, name="declared")
+    # Rejected messages and updates, by reason.
+    rejected: dict[str, int] = msgspec.field(default_factory=dict, name="refused")
 
-    def worse(self, by: int) -> None:
-        self.ill = max(0, min(MOST_ILL, self.ill + by))
+    def adjust(self, by: int) -> None:
+        self.score = max(0, min(MAX_SCORE, self.score + by))
 
-    def refuse(self, why: str) -> None:
-        self.refused[why] = self.refused.get(why, 0) + 1
+    def count_rejected(self, reason: str) -> None:
+        self.rejected[reason] = self.rejected.get(reason, 0) + 1
--- a/src/nettledeal/membership/host.py
+++ b/src/nettledeal/membership/host.py
@@ -1,8 +1,9 @@
-"""A member on sockets: datagrams and streams at an address of its own, in greenlets of its own.
+"""Runs a member on sockets: UDP datagrams and TCP streams at an address of its own, in greenlets of its own.
 
-Decides nothing: the machine in `member.py` is called with what comes and with the time, and its acts are
-carried out. What comes from others is bounded in size, in number and in how much of the loop it may take, so
-that neither a storm of news nor a garbling neighbour costs the work of the process that it lives in.
+The host decides nothing. It passes received messages and the time to the state machine in `member.py` and
+carries out the returned actions. What other members send is bounded in size, in number and in the share of
+the event loop that it may use, so that neither a flood of updates nor a neighbour that sends garbage delays
+the work of the surrounding process.
 """
 
 from __future__ import annotations
@@ -18,23 +19,32 @@
 from gevent import socket
 from gevent.event import Event
 
+from nettledeal.membership.actions import (
+    SECOND,
+    Action,
+    MemberChanged,
+    NameConflict,
+    SendDatagram,
+    Step,
+    StreamRequest,
+)
 from nettledeal.membership.member import Member
-from nettledeal.membership.packets import MOST_DATAGRAM, MOST_STREAM, Packet, Refusal
-from nettledeal.membership.steps import SECOND, Act, Call, Changed, Send, Step, Usurped
-from nettledeal.membership.view import Metadata, State, Word
+from nettledeal.membership.packets import MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Packet, PacketError
+from nettledeal.membership.view import MemberRecord, Metadata, State
 from nettledeal.net.address import Address, written
 from nettledeal.net.transport.budget import STREAMS
 from nettledeal.net.transport.sockets import bound, smooth
 from nettledeal.units import Time
 
-# A stream is over by then, whoever is slow.
-STREAM_WITHIN = 1.0
-# Of the loop: after so many seconds at a stretch others have four times as long.
-STRETCH, REST = 0.003, 4.0
-# What a burst may leave in the kernel while this process is held up.
-BUFFER = 1 << 20
-# Another process of this agent may still hold the address; it is waited for.
-AGAIN = 0.1
+# A stream is aborted after this time.
+STREAM_TIMEOUT_S = 1.0
+# Share of the event loop: after receiving for the first number of seconds at a stretch, the receiver pauses
+# for the second number times as long.
+RECEIVE_STRETCH_S, PAUSE_FACTOR = 0.003, 4.0
+# Room for a burst of datagrams in the kernel while this process is held up.
+RECEIVE_BUFFER_BYTES = 1 << 20
+# Delay between attempts to bind: another process of this agent may still hold the address.
+BIND_RETRY_S = 0.1
 _LENGTH = struct.Struct(">I")
 
 
@@ -44,244 +54,250 @@
         member: Member,
         listen: Address,
         clock: Callable[[], Time],
-        told: Callable[[Act], None],
+        notify: Callable[[Action], None],
         count: Callable[[str], None],
         log: Any,
-        streams: int = STREAMS,
+        max_streams: int = STREAMS,
     ):
-        """`told` gets what changes, as `Changed`, `Ordered` and `Usurped`; `count` a name for what was
-        counted; `log` takes an event and its fields at levels, as structlog's loggers do; `streams` is the
-        most that are open at once, by others and by this one each."""
-        self.member, self.listen, self.clock, self.told, self.count = member, listen, clock, told, count
-        self.log, self.most_streams = log, streams
-        self.datagrams: socket.socket | None = None
-        self.streams: socket.socket | None = None
-        self.wake: Time = 0
-        self.stirred = Event()
-        self.held = self.calls = 0  # streams open, by others and by this one
-        self.refused: set[str] = set()  # reasons that have been said
-        self.jobs: list[gevent.Greenlet] = []
-        self.sent = self.bytes = 0
+        """`notify` receives `MemberChanged`, `OrderReceived` and `NameConflict`. `count` receives the name of
+        a counter to increase. `log` is a logger with levels that takes an event and its fields, like
+        structlog's. `max_streams` limits the open streams, incoming and outgoing ones each."""
+        self.member, self.listen, self.clock, self.notify, self.count = member, listen, clock, notify, count
+        self.log, self.max_streams = log, max_streams
+        self.datagram_socket: socket.socket | None = None
+        self.stream_listener: socket.socket | None = None
+        self.wake_at: Time = 0
+        self.wake_at_changed = Event()
+        self.incoming_streams = self.outgoing_streams = 0
+        self.logged_refusals: set[str] = set()  # reasons that have been logged
+        self.greenlets: list[gevent.Greenlet] = []
+        self.messages_sent = self.bytes_sent = 0
         self.closed = False
 
     def start(self) -> None:
-        self.jobs.append(gevent.spawn(self._run))
+        self.greenlets.append(gevent.spawn(self._run))
 
     def close(self) -> None:
         self.closed = True
-        gevent.killall(self.jobs, block=False)
-        for sock in (self.datagrams, self.streams):
+        gevent.killall(self.greenlets, block=False)
+        for sock in (self.datagram_socket, self.stream_listener):
             if sock is not None:
                 sock.close()
 
-    # Orders of those above.
+    # Calls from the application.
 
-    def order(self, subject: str, out: bool) -> None:
-        self._do(self.member.order(self.clock(), subject, out))
+    def issue_order(self, subject: str, cordoned: bool) -> None:
+        self._carry_out(self.member.issue_order(self.clock(), subject, cordoned))
 
-    def describe(self, metadata: Metadata, first: Iterable[Address]) -> None:
-        self._do(self.member.describe(self.clock(), metadata, first))
+    def set_metadata(self, metadata: Metadata, notify: Iterable[Address]) -> None:
+        self._carry_out(self.member.set_metadata(self.clock(), metadata, notify))
 
-    def tell(self, addresses: Iterable[Address]) -> None:
-        self._do(self.member.tell(self.clock(), addresses))
+    def announce_to(self, addresses: Iterable[Address]) -> None:
+        self._carry_out(self.member.announce_to(self.clock(), addresses))
 
     def forget(self, name: str) -> bool:
         known, step = self.member.forget(self.clock(), name)
-        self._do(step)
+        self._carry_out(step)
         return known
 
     def leave(self) -> None:
-        if self.datagrams is not None:
-            self._do(self.member.leave(self.clock()))
+        if self.datagram_socket is not None:
+            self._carry_out(self.member.leave(self.clock()))
 
     # Greenlets.
 
     def _run(self) -> None:
         while not self._bind():
-            gevent.sleep(AGAIN)
+            gevent.sleep(BIND_RETRY_S)
         member = self.member
         self.log.info("member", name=member.name, listen=written(self.listen), cluster=member.cluster)
-        self._do(self.member.start(self.clock()))
-        self.jobs += [gevent.spawn(self._hear), gevent.spawn(self._accept)]
+        self._carry_out(self.member.start(self.clock()))
+        self.greenlets += [gevent.spawn(self._receive_datagrams), gevent.spawn(self._accept_streams)]
         while True:
-            # Cleared first: what comes to be due earlier while this one calls is not to be missed.
-            self.stirred.clear()
-            wait = (self.wake - self.clock()) / SECOND
+            # Cleared before the due time is read, so that an earlier one set meanwhile is not missed.
+            self.wake_at_changed.clear()
+            wait = (self.wake_at - self.clock()) / SECOND
             if wait > 0:
-                self.stirred.wait(wait)
+                self.wake_at_changed.wait(wait)
             else:
-                self._do(self.member.wake(self.clock()))
+                self._carry_out(self.member.on_timer(self.clock()))
                 gevent.sleep(0)
 
     def _bind(self) -> bool:
         family = socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             sock.bind(self.listen)
-            self.streams = bound(self.listen)
-            self.datagrams = sock
+            self.stream_listener = bound(self.listen)
+            self.datagram_socket = sock
             return True
-        except OSError as fault:
+        except OSError as error:
             sock.close()
-            if fault.errno != errno.EADDRINUSE:
-                self.log.error("member cannot listen", listen=written(self.listen), why=fault.strerror)
+            if error.errno != errno.EADDRINUSE:
+                self.log.error("member cannot listen", listen=written(self.listen), why=error.strerror)
                 gevent.sleep(1.0)
             return False
 
-    def _hear(self) -> None:
+    def _receive_datagrams(self) -> None:
         since = time.perf_counter()
         while True:
             try:
-                raw, source = self.datagrams.recvfrom(MOST_DATAGRAM + 1)
+                raw, source = self.datagram_socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 if self.closed:
                     return
                 gevent.sleep(0.01)
                 continue
-            packet = self._read(raw, MOST_DATAGRAM, source[:2])
+            packet = self._decode(raw, MAX_DATAGRAM_BYTES, source[:2])
             if packet is not None:
-                self._do(self.member.heard(self.clock(), packet, source[:2]))
-            spent = time.perf_counter() - since
-            if spent > STRETCH:
-                # Either it has waited for most of that, or it is a storm and others have their turn.
-                gevent.sleep(min(spent, 2 * STRETCH) * REST if self._waiting() else 0)
+                self._carry_out(self.member.on_datagram(self.clock(), packet, source[:2]))
+            elapsed = time.perf_counter() - since
+            if elapsed > RECEIVE_STRETCH_S:
+                # Either most of that was spent waiting, or datagrams arrive in a flood and other greenlets
+                # get their turn.
+                gevent.sleep(
+                    min(elapsed, 2 * RECEIVE_STRETCH_S) * PAUSE_FACTOR if self._has_more_datagrams() else 0
+                )
                 since = time.perf_counter()
 
-    def _waiting(self) -> bool:
-        """Whether more has come already: a storm, not a pause that has ended."""
+    def _has_more_datagrams(self) -> bool:
+        """Whether another datagram is already waiting: a flood rather than the end of a pause."""
         try:
-            return bool(self.datagrams.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+            return bool(self.datagram_socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
             return False
 
-    def _read(self, raw: bytes, most: int, source: Address) -> Packet | None:
+    def _decode(self, raw: bytes, max_bytes: int, source: Address) -> Packet | None:
         try:
-            return self.member.codec.decode(raw, self.member.cluster, most)
-        except Refusal as why:
-            self.count(f"member: {why}")
-            if str(why) not in self.refused:
-                self.refused.add(str(why))
-                self.log.warning("message to the member refused", why=str(why), source=written(source))
+            return self.member.codec.decode(raw, self.member.cluster, max_bytes)
+        except PacketError as error:
+            self.count(f"member: {error}")
+            if str(error) not in self.logged_refusals:
+                self.logged_refusals.add(str(error))
+                self.log.warning("message to the member refused", why=str(error), source=written(source))
             return None
 
-    def _accept(self) -> None:
+    def _accept_streams(self) -> None:
         while True:
             try:
-                sock, source = self.streams.accept()
+                sock, source = self.stream_listener.accept()
             except OSError:
                 if self.closed:
                     return
                 gevent.sleep(0.01)
                 continue
-            if self.held >= self.most_streams:
+            if self.incoming_streams >= self.max_streams:
                 self.count("member: streams turned away")
                 sock.close()
                 continue
-            self.held += 1
-            gevent.spawn(self._serve, sock, source[:2])
+            self.incoming_streams += 1
+            gevent.spawn(self._serve_stream, sock, source[:2])
 
-    def _serve(self, sock: socket.socket, source: Address) -> None:
+    def _serve_stream(self, sock: socket.socket, source: Address) -> None:
         try:
-            with gevent.Timeout(STREAM_WITHIN):
-                packet = self._whole(sock, source)
+            with gevent.Timeout(STREAM_TIMEOUT_S):
+                packet = self._receive_packet(sock, source)
                 if packet is not None:
-                    answer, step = self.member.called(self.clock(), packet)
-                    self._do(step)
+                    answer, step = self.member.on_stream_request(self.clock(), packet)
+                    self._carry_out(step)
                     if answer is not None:
-                        self._put(sock, answer)
+                        self._send_packet(sock, answer)
         except (OSError, gevent.Timeout):
             self.count("member: streams broken")
         finally:
-            self.held -= 1
+            self.incoming_streams -= 1
             sock.close()
 
-    def _whole(self, sock: socket.socket, source: Address) -> Packet | None:
-        head = self._exactly(sock, _LENGTH.size)
+    def _receive_packet(self, sock: socket.socket, source: Address) -> Packet | None:
+        head = self._receive_exactly(sock, _LENGTH.size)
         if len(head) < _LENGTH.size:
             return None
         (size,) = _LENGTH.unpack(head)
-        if size > MOST_STREAM:
-            return self._read(bytes(MOST_DATAGRAM), 0, source)  # counted as oversized, and not read
-        return self._read(self._exactly(sock, size), MOST_STREAM, source)
+        if size > MAX_STREAM_BYTES:
+            # Not read from the stream; decoded with a limit of 0 so that it counts as oversized.
+            return self._decode(bytes(MAX_DATAGRAM_BYTES), 0, source)
+        return self._decode(self._receive_exactly(sock, size), MAX_STREAM_BYTES, source)
 
     @staticmethod
-    def _exactly(sock: socket.socket, size: int) -> bytes:
+    def _receive_exactly(sock: socket.socket, size: int) -> bytes:
         parts, left = [], size
         while left and (part := sock.recv(min(left, 65536))):
             parts.append(part)
             left -= len(part)
         return b"".join(parts)
 
-    def _put(self, sock: socket.socket, packet: Packet) -> None:
+    def _send_packet(self, sock: socket.socket, packet: Packet) -> None:
         raw = self.member.codec.encode(packet)
         sock.sendall(_LENGTH.pack(len(raw)) + raw)
-        self.sent += 1
-        self.bytes += len(raw)
-
-    # Acts.
-
-    def _do(self, step: Step) -> None:
-        for act in step.acts:
-            if isinstance(act, Send):
-                self._send(act)
-            elif isinstance(act, Call):
-                if self.calls < self.most_streams:
-                    self.calls += 1
-                    gevent.spawn(self._call, act)
+        self.messages_sent += 1
+        self.bytes_sent += len(raw)
+
+    # Actions.
+
+    def _carry_out(self, step: Step) -> None:
+        for action in step.actions:
+            if isinstance(action, SendDatagram):
+                self._send_datagram(action)
+            elif isinstance(action, StreamRequest):
+                if self.outgoing_streams < self.max_streams:
+                    self.outgoing_streams += 1
+                    gevent.spawn(self._request, action)
             else:
-                if isinstance(act, Changed):
-                    self._say(act.word, act.before)
-                elif isinstance(act, Usurped):
-                    at = written(act.word.address)
-                    self.log.error("another process bears this name; this one is silent", at=at)
-                self.told(act)
-        if step.wake != self.wake:
-            self.wake = step.wake
-            self.stirred.set()
-
-    def _send(self, act: Send) -> None:
-        raw = self.member.codec.encode(act.packet)
-        self.sent += 1
-        self.bytes += len(raw)
-        # Full buffers and places that are no more are a loss like any other.
+                if isinstance(action, MemberChanged):
+                    self._log_change(action.record, action.previous_state)
+                elif isinstance(action, NameConflict):
+                    address = written(action.record.address)
+                    self.log.error("another process bears this name; this one is silent", at=address)
+                self.notify(action)
+        if step.wake_at != self.wake_at:
+            self.wake_at = step.wake_at
+            self.wake_at_changed.set()
+
+    def _send_datagram(self, action: SendDatagram) -> None:
+        raw = self.member.codec.encode(action.packet)
+        self.messages_sent += 1
+        self.bytes_sent += len(raw)
+        # Full buffers and unreachable addresses count as packet loss.
         with suppress(OSError):
-            self.datagrams.sendto(raw, act.address)
+            self.datagram_socket.sendto(raw, action.address)
 
-    def _call(self, act: Call) -> None:
+    def _request(self, request: StreamRequest) -> None:
         packet, refused = None, False
-        sock = socket.socket(socket.AF_INET6 if ":" in act.address[0] else socket.AF_INET, socket.SOCK_STREAM)
+        sock = socket.socket(
+            socket.AF_INET6 if ":" in request.address[0] else socket.AF_INET, socket.SOCK_STREAM
+        )
         try:
-            with gevent.Timeout(STREAM_WITHIN):
-                # From the address that others know it by.
+            with gevent.Timeout(STREAM_TIMEOUT_S):
+                # From the host that other members know this one by.
                 sock.bind((self.listen[0], 0))
-                sock.connect(act.address)
+                sock.connect(request.address)
                 smooth(sock)
-                self._put(sock, act.packet)
-                packet = self._whole(sock, act.address)
+                self._send_packet(sock, request.packet)
+                packet = self._receive_packet(sock, request.address)
         except ConnectionRefusedError:
             refused = True
         except (OSError, gevent.Timeout):
             pass
         finally:
             sock.close()
-            self.calls -= 1
+            self.outgoing_streams -= 1
         if not self.closed:
-            self._do(self.member.answered(self.clock(), act, packet, refused))
+            self._carry_out(self.member.on_stream_response(self.clock(), request, packet, refused))
 
-    def _say(self, word: Word, before: int | None) -> None:
-        # What a newcomer is told of those that were there before it is no change.
-        say = self.log.info if self.member.joined or before is not None else self.log.debug
-        say(
+    def _log_change(self, record: MemberRecord, previous_state: int | None) -> None:
+        # The members that a joining member learns of are no changes, and are logged at debug level.
+        log = self.log.info if self.member.joined or previous_state is not None else self.log.debug
+        log(
             "member changed",
-            member=word.name,
-            at=written(word.address),
-            state=spoken(word.state),
-            before=None if before is None else spoken(before),
-            by=word.by,
-            incarnation=word.incarnation,
+            member=record.name,
+            at=written(record.address),
+            state=state_name(record.state),
+            before=None if previous_state is None else state_name(previous_state),
+            by=record.accuser,
+            incarnation=record.incarnation,
         )
 
 
-def spoken(state: int) -> str:
+def state_name(state: int) -> str:
     return State(state).name.lower()
--- a/src/nettledeal/membership/joining.py
+++ b/src/nettledeal/membership/joining.py
@@ -1,108 +1,121 @@
-"""Joining by seeds, and whole views exchanged now and then (push-pull), also with the dead."""
+"""Joining through seeds, and periodic full view exchanges (push-pull), also with dead members."""
 
 from __future__ import annotations
 
 from math import log
 from zlib import crc32
 
-from nettledeal.membership.machine import Machine
-from nettledeal.membership.packets import COMPARE, SWAP, Packet
-from nettledeal.membership.steps import SECOND, Call
-from nettledeal.membership.view import State, Word
+from nettledeal.membership.actions import SECOND, StreamRequest
+from nettledeal.membership.member_base import MemberBase
+from nettledeal.membership.packets import COMPARE, SYNC_REQUEST, Packet
+from nettledeal.membership.view import MemberRecord, State
 from nettledeal.net.address import Address
 
-# After a member held dead turns out to live: so many exchanges soon after, about so many periods apart, and
-# no further ones that begin within this part of the time between the usual exchanges.
-RETURN_EXCHANGES, RETURN_PERIODS, RETURN_AGAIN = 3, 4, 0.5
-# Whoever has joined nobody calls seeds ever more rarely, down to this.
-CALL_AGAIN_MOST = 8 * SECOND
+# After a member held dead turns out to be alive: this many extra exchanges, about this many protocol periods
+# apart, and no further extra ones within this share of the regular exchange interval.
+RETURN_EXCHANGES, RETURN_PERIODS, RETURN_QUIET_SHARE = 3, 4, 0.5
+# Longest delay between two attempts of a member that has not joined to contact seeds.
+MAX_JOIN_BACKOFF_TENTHS = 8 * SECOND
 
 
-class Joining(Machine):
-    """Whole views by stream."""
+class Joining(MemberBase):
+    """Full view exchanges over streams."""
 
     def _join(self) -> None:
-        """Any seed, time and again, until it is in."""
+        """Contact seeds with exponential backoff until another member is known."""
         if not self.ring and self.seeds:
-            self._call_seeds()
-            self._at(self.now + self._some(self.again), "join")
-            self.again = min(CALL_AGAIN_MOST, 2 * self.again)
-
-    def _call_seeds(self) -> None:
-        for seed in self.chance.sample(self.seeds, min(2, len(self.seeds))):
-            self._swap_with(seed)
-
-    def _swap(self) -> None:
-        larger = max(0.0, log(max(1, len(self.ring)) / 32, 2))
-        self.swap_in = min(round(self.timing.swap * (1 + larger)), 2 * self.swap_in)
-        self._at(self.now + self._some(self.swap_in), "swap")
-        gone = [
-            word.name
-            for word in self.view.words.values()
-            if not word.live and self.now - self.view.since[word.name] > self.timing.keep
+            self._sync_with_seeds()
+            self._schedule(self.now + self._jittered(self.join_backoff), "join")
+            self.join_backoff = min(MAX_JOIN_BACKOFF_TENTHS, 2 * self.join_backoff)
+
+    def _sync_with_seeds(self) -> None:
+        for seed in self.rng.sample(self.seeds, min(2, len(self.seeds))):
+            self._sync_with(seed)
+
+    def _sync_round(self) -> None:
+        size_factor = max(0.0, log(max(1, len(self.ring)) / 32, 2))
+        self.sync_interval = min(round(self.timing.swap * (1 + size_factor)), 2 * self.sync_interval)
+        self._schedule(self.now + self._jittered(self.sync_interval), "sync_round")
+        expired = [
+            record.name
+            for record in self.view.records.values()
+            if not record.live and self.now - self.view.state_since[record.name] > self.timing.keep
         ]
-        self.view.drop(gone)
-        self.view.drop_orders(self.now - self.timing.keep)
-        self._exchange(self._gossip_targets(1) if self.timing.compare else self._some_of(self.ring, 1))
+        self.view.remove(expired)
+        self.view.drop_lifted_orders(self.now - self.timing.keep)
+        self._exchange_views(self._gossip_targets(1) if self.timing.compare else self._sample(self.ring, 1))
 
-    def _exchange(self, words: list[Word]) -> None:
-        """Whole views; where they are compared before, only with those that know another one."""
-        for word in words:
+    def _exchange_views(self, members: list[MemberRecord]) -> None:
+        """Exchange full views; with `Timing.compare` only if the digests of the two views differ."""
+        for member in members:
             if self.timing.compare:
-                self.acts.append(Call(word.address, self._packet(COMPARE, self._digest())))
+                self.actions.append(
+                    StreamRequest(member.address, self._make_packet(COMPARE, self._view_digest()))
+                )
             else:
-                self._swap_with(word.address)
-
-    def _returned(self) -> None:
-        """One that was held dead lives, in the life that it had: after a partition its refutation, and others
-        that come with it, are told out while some members still hold their tellers dead, and would be known
-        to those only at the next usual exchange."""
-        if self.now < self.returned_at + round(RETURN_AGAIN * self.timing.swap):
+                self._sync_with(member.address)
+
+    def _on_dead_member_returned(self) -> None:
+        """A member held dead turned out to be alive, without a restart. After a partition, its refutation and
+        the updates that come with it stop being gossiped while some members still hold their senders dead;
+        those members would learn of them only in the next regular exchange. So extra exchanges are
+        scheduled."""
+        if self.now < self.last_return_at + round(RETURN_QUIET_SHARE * self.timing.swap):
             return
-        self.returned_at = self.now
+        self.last_return_at = self.now
         for number in range(1, RETURN_EXCHANGES + 1):
-            self._at(self.now + self._some(number * RETURN_PERIODS * self.timing.period), "reconcile")
+            self._schedule(
+                self.now + self._jittered(number * RETURN_PERIODS * self.timing.period), "reconcile"
+            )
 
     def _reconcile(self) -> None:
-        # Of all zones alike: members of one zone were apart from the others together, and lack the same.
-        self._exchange(self._some_of(self.ring, 1))
-
-    def _dead(self) -> None:
-        """Now and then one of the dead is called: after a partition both sides take each other for dead. As
-        rarely as they are few, or all would call one."""
-        self._at(self.now + self._some(10 * self.timing.period), "dead")
-        dead = {word.address for word in self.view.words.values() if word.state == State.DEAD}
-        # A seed that has left may have been started again, with nobody else to call.
-        dead |= set(self.seeds) - {self.view.words[name].address for name in self.ring}
-        if dead and self.chance.random() < len(dead) / (len(dead) + len(self.ring)) + 0.01:
-            self._swap_with(self.chance.choice(sorted(dead)))
+        # With a member of any zone: members of one zone were cut off together and miss the same updates.
+        self._exchange_views(self._sample(self.ring, 1))
+
+    def _try_dead_member(self) -> None:
+        """Now and then contact a dead member, since after a partition each side holds the other one dead. The
+        probability is about their share of the group, or all live members would contact the same few."""
+        self._schedule(self.now + self._jittered(10 * self.timing.period), "try_dead_member")
+        dead = {record.address for record in self.view.records.values() if record.state == State.DEAD}
+        # A seed that has left may have been restarted and know no other member.
+        dead |= set(self.seeds) - {self.view.records[name].address for name in self.ring}
+        if dead and self.rng.random() < len(dead) / (len(dead) + len(self.ring)) + 0.01:
+            self._sync_with(self.rng.choice(sorted(dead)))
         if not self.ring and self.joined:
-            self._call_seeds()  # all others have gone
-
-    def _call_some(self, names: list[str]) -> None:
-        for word in self._some_of(names, 1):
-            self._swap_with(word.address)
-
-    def _swap_with(self, address: Address) -> None:
-        self.number += 1
-        self.acts.append(Call(address, self._whole(SWAP, self.number)))
-
-    def _digest(self) -> int:
-        """Equal for two members that know the same of all; a word of the last moment makes it differ."""
-        words = [word for word in (*self.view.words.values(), self.me) if word.live]
-        known = sorted((word.name, word.life, word.incarnation, int(word.state)) for word in words)
+            self._sync_with_seeds()  # no other member is left
+
+    def _sync_with_random(self, names: list[str]) -> None:
+        for member in self._sample(names, 1):
+            self._sync_with(member.address)
+
+    def _sync_with(self, address: Address) -> None:
+        self.sequence_number += 1
+        self.actions.append(
+            StreamRequest(address, self._make_full_view_packet(SYNC_REQUEST, self.sequence_number))
+        )
+
+    def _view_digest(self) -> int:
+        """Equal for two members with the same records of live members; an update still being gossiped makes
+        it differ."""
+        records = [record for record in (*self.view.records.values(), self.own_record) if record.live]
+        known = sorted(
+            (record.name, record.started_at, record.incarnation, int(record.state)) for record in records
+        )
         return crc32(repr(known).encode())
 
-    def _compared(self, call: Call) -> None:
-        """Another view has come for an answer and is merged: the other one lacks what is still unlike it."""
-        if call.packet.kind == COMPARE:
-            self._swap_with(call.address)
-
-    def _whole(self, kind: str, number: int) -> Packet:
-        # Those long dead are told no more, or they would be handed on for ever.
-        young = [
-            word
-            for word in self.view.words.values()
-            if word.live or self.now - self.view.since[word.name] < self.timing.keep // 2
+    def _finish_comparison(self, request: StreamRequest) -> None:
+        """The answer to a digest comparison was a full view, and has been merged. The other member still
+        lacks what is known only here, so the exchange is completed."""
+        if request.packet.kind == COMPARE:
+            self._sync_with(request.address)
+
+    def _make_full_view_packet(self, kind: str, sequence_number: int) -> Packet:
+        # Members long dead are left out, or members would pass their records to each other for ever.
+        recent = [
+            record
+            for record in self.view.records.values()
+            if record.live or self.now - self.view.state_since[record.name] < self.timing.keep // 2
         ]
-        return self._packet(kind, number, words=young, orders=list(self.view.orders.values()))
+        return self._make_packet(
+            kind, sequence_number, records=recent, orders=list(self.view.orders.values())
+        )
--- a/src/nettledeal/membership/member.py
+++ b/src/nettledeal/membership/member.py
@@ -1,15 +1,16 @@
-"""One member: probes others, is probed, suspects, refutes and spreads news; SWIM with the extensions of
-Lifeguard.
-
-A state machine. Its host calls `start`, `heard`, `called`, `answered`, `wake`, `leave`, `order` and `forget`
-as things happen, each with the time now (whole tenths of a millisecond; Unix time), and carries out the acts
-of the `Step` that it gets: datagrams, calls by stream, and what has changed for those above. Chance is
-seeded: the same calls give the same steps.
-
-Three things keep the innocent alive. Suspicion comes before death, lasts the longer the fewer accuse, and is
-refuted by the accused with a higher incarnation. A member that fails others often, or misses what should have
-come, takes itself for ill: its probes become rarer and more patient, its suspicions longer. And one that was
-late itself, or that hears nobody, draws no conclusion from what it did not hear.
+"""One member of the group: SWIM failure detection and dissemination with the Lifeguard extensions.
+
+A deterministic state machine without I/O. Its host calls `start`, `on_datagram`, `on_stream_request`,
+`on_stream_response`, `on_timer`, `leave`, `issue_order`, `forget`, `set_metadata` and `announce_to`, each
+with the current time (Unix time in tenths of a millisecond), and carries out the actions of the returned
+`Step`: datagrams, stream requests and notifications of changes. With a seeded random generator, the same
+calls give the same steps.
+
+Three mechanisms prevent live members from being declared dead. A suspicion precedes each death; it lasts
+longer the fewer members confirm it, and the accused refutes it with a higher incarnation. A member whose
+probes often fail, or that misses expected messages, lowers its local health: it then probes more rarely, with
+longer timeouts and longer suspicions. And a member that ran late itself, or that receives nothing, draws no
+conclusion from missing answers.
 """
 
 from __future__ import annotations
@@ -19,161 +20,190 @@
 
 import msgspec
 
-from nettledeal.membership.dissemination import FAN, Disseminating
+from nettledeal.membership.actions import SECOND, Step, StreamRequest
+from nettledeal.membership.dissemination import GOSSIP_FANOUT, Disseminating
 from nettledeal.membership.joining import Joining
-from nettledeal.membership.packets import ACK, COMPARE, PING, SAME, SWAP, SWAPPED, TELL, Packet
+from nettledeal.membership.packets import (
+    ACK,
+    COMPARE,
+    GOSSIP,
+    PING,
+    SAME,
+    SYNC_REQUEST,
+    SYNC_RESPONSE,
+    Packet,
+)
 from nettledeal.membership.probing import Probing
-from nettledeal.membership.steps import SECOND, Call, Step
 from nettledeal.membership.suspicion import Suspecting
-from nettledeal.membership.view import Metadata, Order, State, Word
+from nettledeal.membership.view import MemberRecord, Metadata, OperatorOrder, State
 from nettledeal.net.address import Address
 from nettledeal.units import Time
 
 
 class Member(Probing, Suspecting, Disseminating, Joining):
-    """The whole protocol; see the parts for what each does."""
+    """The complete protocol; each base class implements one part."""
 
-    # What its host calls.
+    # Called by the host.
 
     def start(self, now: Time) -> Step:
         self.now = now
-        self._at(now + self._some(self.timing.period), "period")
-        self._at(now + self._some(self.swap_in), "swap")
-        self._at(now + self._some(10 * self.timing.period), "dead")
+        self._schedule(now + self._jittered(self.timing.period), "probe_round")
+        self._schedule(now + self._jittered(self.sync_interval), "sync_round")
+        self._schedule(now + self._jittered(10 * self.timing.period), "try_dead_member")
         self._join()
-        return self._step()
+        return self._finish_step()
 
-    def heard(self, now: Time, packet: Packet, source: Address) -> Step:
-        """A datagram. Answers go to where it came from."""
-        self._attend(now)
-        if self._take(packet, source):
+    def on_datagram(self, now: Time, packet: Packet, source: Address) -> Step:
+        """Handle a datagram. Answers go to the address that it came from."""
+        self._advance_clock(now)
+        if self._apply_packet(packet, source):
             match packet.kind:
                 case "ping":
-                    self._answer(packet, source)
+                    self._answer_ping(packet, source)
                 case "ack":
-                    self._ack(packet)
-                case "nack" if self.probe is not None and packet.number == self.probe.number:
+                    self._on_ack(packet)
+                case "nack" if (
+                    self.probe is not None and packet.sequence_number == self.probe.sequence_number
+                ):
                     self.probe.nacks += 1
                 case "ask":
-                    self._relay(packet, source)
-        return self._step()
+                    self._relay_ping(packet, source)
+        return self._finish_step()
 
-    def called(self, now: Time, packet: Packet) -> tuple[Packet | None, Step]:
-        """A stream's first message; what is answered to it."""
-        self._attend(now)
+    def on_stream_request(self, now: Time, packet: Packet) -> tuple[Packet | None, Step]:
+        """Handle the request of an incoming stream; returns the answer to send back, if any."""
+        self._advance_clock(now)
         answer = None
-        if self._take(packet, packet.sender.address):
-            if packet.kind == SWAP:
+        if self._apply_packet(packet, packet.sender.address):
+            if packet.kind == SYNC_REQUEST:
                 self.joined = True
-                answer = self._whole(SWAPPED, packet.number)
+                answer = self._make_full_view_packet(SYNC_RESPONSE, packet.sequence_number)
             elif packet.kind == COMPARE:
-                same = packet.number == self._digest()
-                answer = self._packet(SAME, packet.number) if same else self._whole(SWAPPED, packet.number)
-            elif packet.kind == PING and self._is_me(packet.target):
-                answer = self._packet(ACK, packet.number)
-        return answer, self._step()
-
-    def answered(self, now: Time, call: Call, packet: Packet | None, refused: bool = False) -> Step:
-        """The end of a call: its answer, or none. A refusal (nobody listens there) shows that the network is
-        heard, and it is the machine there that says so."""
-        self._attend(now)
+                same = packet.sequence_number == self._view_digest()
+                answer = (
+                    self._make_packet(SAME, packet.sequence_number)
+                    if same
+                    else self._make_full_view_packet(SYNC_RESPONSE, packet.sequence_number)
+                )
+            elif packet.kind == PING and self._is_own_name(packet.target):
+                answer = self._make_packet(ACK, packet.sequence_number)
+        return answer, self._finish_step()
+
+    def on_stream_response(
+        self, now: Time, request: StreamRequest, packet: Packet | None, refused: bool = False
+    ) -> Step:
+        """Handle the end of a stream request, with or without an answer. A refused connection comes from the
+        other machine, so it shows that this member receives from the network."""
+        self._advance_clock(now)
         if refused:
-            self.heard_at = self.now
-        if packet is not None and self._take(packet, call.address):
-            if packet.kind == SWAPPED:
+            self.last_heard_at = self.now
+        if packet is not None and self._apply_packet(packet, request.address):
+            if packet.kind == SYNC_RESPONSE:
                 self.joined = True
-                self._compared(call)
+                self._finish_comparison(request)
             elif packet.kind == ACK:
-                self._ack(packet)
-        return self._step()
+                self._on_ack(packet)
+        return self._finish_step()
 
-    def wake(self, now: Time) -> Step:
-        self._attend(now)
+    def on_timer(self, now: Time) -> Step:
+        self._advance_clock(now)
         while self.timers and self.timers[0][0] <= self.now:
-            _, _, what, which = heappop(self.timers)
+            _, _, handler, argument = heappop(self.timers)
             if not self.silent:
-                getattr(self, f"_{what}")(*(() if which is None else (which,)))
-        return self._step()
-
-    def order(self, now: Time, subject: str, out: bool) -> Step:
-        """An operator's, newer than all that are known of the subject."""
-        self._attend(now)
-        old = self.view.orders.get(subject)
-        self._ordered(Order(subject, max(self.now, old.at + 1 if old else 0), self.name, out), said=False)
-        return self._step()
+                getattr(self, f"_{handler}")(*(() if argument is None else (argument,)))
+        return self._finish_step()
+
+    def issue_order(self, now: Time, subject: str, cordoned: bool) -> Step:
+        """Issue an operator's order, newer than all known orders of the subject."""
+        self._advance_clock(now)
+        previous = self.view.orders.get(subject)
+        self._apply_order(
+            OperatorOrder(
+                subject, max(self.now, previous.issued_at + 1 if previous else 0), self.name, cordoned
+            ),
+            notify=False,
+        )
+        return self._finish_step()
 
     def forget(self, now: Time, name: str) -> tuple[bool, Step]:
-        """A dead member counts as one that has left: it is not called any more, and not counted as
-        missing."""
-        self._attend(now)
-        word = self.view.words.get(name)
-        known = word is not None and not word.live
+        """Mark a dead member as left: it is no longer contacted, and no longer counted as missing. Returns
+        whether it was known and not alive."""
+        self._advance_clock(now)
+        record = self.view.records.get(name)
+        known = record is not None and not record.live
         if known:
-            self._tell_of(word, State.LEFT)
-        return known, self._step()
-
-    def describe(self, now: Time, metadata: Metadata, first: Iterable[Address] = ()) -> Step:
-        """Says something else of itself from here on, to the addresses in `first` at once."""
-        self._attend(now)
-        if not self.silent and metadata != self.me.metadata:
-            self.me = msgspec.structs.replace(self.me, metadata=metadata, incarnation=self.me.incarnation + 1)
-            for address in first:
-                self._send(TELL, address)
-            self._rumour(self.me, minor=True)
-        return self._step()
-
-    def tell(self, now: Time, addresses: Iterable[Address]) -> Step:
-        """Says what it says of itself to these once more; datagrams are lost now and then."""
-        self._attend(now)
+            self._declare(record, State.LEFT)
+        return known, self._finish_step()
+
+    def set_metadata(self, now: Time, metadata: Metadata, notify: Iterable[Address] = ()) -> Step:
+        """Publish new metadata; the addresses in `notify` are told at once."""
+        self._advance_clock(now)
+        if not self.silent and metadata != self.own_record.metadata:
+            self.own_record = msgspec.structs.replace(
+                self.own_record, metadata=metadata, incarnation=self.own_record.incarnation + 1
+            )
+            for address in notify:
+                self._send(GOSSIP, address)
+            self._queue_record(self.own_record, minor=True)
+        return self._finish_step()
+
+    def announce_to(self, now: Time, addresses: Iterable[Address]) -> Step:
+        """Send the own record to these addresses once more, since datagrams may be lost."""
+        self._advance_clock(now)
         if not self.silent:
             for address in addresses:
-                self._send(TELL, address)
-        return self._step()
+                self._send(GOSSIP, address)
+        return self._finish_step()
 
     def leave(self, now: Time) -> Step:
-        """Says that it goes, to as many as news is told to at once; the rest hear it from them."""
-        self._attend(now)
+        """Announce the departure to twice the usual number of members, which gossip it on, and go silent."""
+        self._advance_clock(now)
         if not self.silent:
-            self.me = self._said(State.LEFT, self.me.incarnation)
-            self._rumour(self.me)
-            for word in self._some_of(self.ring, 2 * FAN):
-                self._send(TELL, word.address)
+            self.own_record = self._own_record_with(State.LEFT, self.own_record.incarnation)
+            self._queue_record(self.own_record)
+            for record in self._sample(self.ring, 2 * GOSSIP_FANOUT):
+                self._send(GOSSIP, record.address)
             self.silent = True
-        return self._step()
+        return self._finish_step()
 
-    # What others go by.
+    # Queries.
 
-    def live(self) -> list[Word]:
-        """Those that live as far as is known, itself among them, by name."""
-        return sorted([*self.view.live(), *(() if self.silent else (self.me,))], key=lambda word: word.name)
+    def live_members(self) -> list[MemberRecord]:
+        """Members held alive or suspect, this one among them unless it is silent, by name."""
+        return sorted(
+            [*self.view.live_records(), *(() if self.silent else (self.own_record,))],
+            key=lambda record: record.name,
+        )
 
     # Time.
 
-    def _attend(self, now: Time) -> None:
-        """Whether it was late itself: stopped, starved, or its clock moved on at a jump. Then nothing that it
-        waited for can be judged by, and what it holds against others waits as long as it was away."""
-        now += self.shift
+    def _advance_clock(self, now: Time) -> None:
+        """Move on to `now`, and detect whether this member ran late: stopped, starved of CPU, or its clock
+        jumped forward. After that, missing answers prove nothing, and the suspicions it holds are prolonged
+        by the time that it was away."""
+        now += self.clock_correction
         if now < self.now:
-            # Its clock was set back: it goes on from where it was, or all its timers would stand still.
-            self.shift += self.now - now
+            # The clock was set back. Time continues from where it was, or no timer would run until then.
+            self.clock_correction += self.now - now
             now = self.now
-        # Against the last call where that came after: what has piled up is handed in one by one.
+        # Measured from the last call if that came after the due time: a backlog of messages is handed in one
+        # by one.
         due = max(self.now, self.timers[0][0] if self.timers else now)
         self.now = now
         late = now - due
         if late <= self.timing.probe or self.silent:
             return
-        self.health.late += 1
-        self.health.worse(1 + min(3, late // SECOND))
+        self.health.late_wakeups += 1
+        self.health.adjust(1 + min(3, late // SECOND))
         self.probe = None
-        self.relays.clear()
-        self.heard_at = -1
+        self.relayed_pings.clear()
+        self.last_heard_at = -1
         for suspicion in self.suspicions.values():
-            suspicion.delayed += late
+            suspicion.delayed_by += late
         self.timers = sorted(
-            (at + late, *rest) if rest[1] == "suspicion" else (at, *rest)
+            (at + late, *rest) if rest[1] == "suspicion_timeout" else (at, *rest)
             for at, *rest in self.timers
-            if rest[1] not in ("late", "end", "relayed")
+            if rest[1] not in ("probe_indirectly", "end_probe", "send_nack")
         )
-        # What has been said of it meanwhile comes soonest from a whole view.
-        self._call_some(self.ring)
+        # A full view is the quickest way to learn what was said about this member meanwhile.
+        self._sync_with_random(self.ring)
--- a/src/nettledeal/membership/node.py
+++ b/src/nettledeal/membership/node.py
@@ -1,4 +1,4 @@
-"""A process of the serving system as a member: what the other parts of the process see of all the others."""
+"""Group membership of one process of the serving system, as seen by the other parts of the process."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from nettledeal.common.addresses import Address, InternalPort, parse_address
 from nettledeal.common.logs import log_event
 from nettledeal.common.settings import Settings
+from nettledeal.membership.actions import SECOND, Action, MemberChanged, Timing
 from nettledeal.membership.cbor_codec import CborCodec
-from nettledeal.membership.doubt import zones_in_doubt
 from nettledeal.membership.host import Host
 from nettledeal.membership.member import Member
-from nettledeal.membership.steps import SECOND, Act, Changed, Timing
-from nettledeal.membership.view import Metadata, State, Word
+from nettledeal.membership.view import MemberRecord, Metadata, State
+from nettledeal.membership.zone_suspicion import suspected_zones
 
-# Members of one deployment; a packet of another one is refused.
+# Name of the cluster of one deployment; packets of another cluster are refused.
 CLUSTER = "nd"
-# A lost member goes on counting toward shared budgets for so long: it may only be cut off from here.
-LOST_COUNTS_S = 60.0
-# A member found dead goes on speaking against its zone for so long, unless it comes back.
-DEATH_TELLS_S = 8.0
+# A dead member goes on counting toward shared budgets for this time: it may only be cut off from here.
+LOST_MEMBER_COUNTED_S = 60.0
+# A dead member goes on counting as evidence against its zone for this time, unless it comes back.
+DEATH_EVIDENCE_S = 8.0
 # Streams open at once, in each direction: many processes may join through one seed at the same time.
 MAX_STREAMS = 64
 # The protocol's period is this part of the deployment's heartbeat.
 PERIODS_PER_HEARTBEAT = 3
-# How often news is told, in times of the logarithm of the number of members.
-NEWS_TOLD = 3
-# So long after its start a data-plane process joins although it is not ready: where no seed has a replica, it
-# finds the core machines by membership only.
+# Transmissions of an update per log10 of the group size.
+RETRANSMIT_FACTOR = 3
+# After this time a data-plane process joins although it is not ready: where no seed has a replica of the
+# control state, it finds the core machines through membership only.
 JOIN_UNREADY_AFTER_S = 0.3
-# What a member says of itself is repeated to the core members after so many seconds.
+# A change of a member's own metadata is sent to the core members again after these delays.
 REPEAT_AFTER_S = (0.1, 0.4)
-# As many data-plane members a process assumes before it has joined: its share is small until it knows.
+# Data-plane members that a process assumes before it has joined, so that its share of a budget starts small.
 ASSUMED_BEFORE_JOINING = 64
 _NANOSECONDS_PER_TICK = 100_000
 
@@ -56,12 +56,12 @@
     Role.CORE: InternalPort.CORE_MEMBERSHIP,
     Role.RELAY: InternalPort.CORE_MEMBERSHIP,
 }
-# Members that answer clients asking where to go: what changes is told to them at once.
+# Members that tell clients which member to connect to. Changes are sent to them at once.
 DIRECTORY_ROLES = frozenset({Role.CORE, Role.RELAY})
 
 
 class MemberInfo(msgspec.Struct, frozen=True):
-    """A member that lives as far as is known. `incarnation` differs between two lives of one name."""
+    """A live member, as far as is known. `incarnation` differs between two processes of the same name."""
 
     name: str
     role: str
@@ -76,7 +76,7 @@
 
 
 class SteadyClock:
-    """Ticks of 0.1 ms: the time of day when the process started, moved on by a clock that never jumps."""
+    """Ticks of 0.1 ms: the time of day when the process started, advanced by the monotonic clock."""
 
     def __init__(self) -> None:
         self._offset_ns = time.time_ns() - time.monotonic_ns()
@@ -87,8 +87,8 @@
 
 
 class _EventLog:
-    """The levels of a logger, as events of the system's log. Of other members only deaths are logged: at each
-    start and release every process would log every other one."""
+    """Maps the levels of a logger to events of the system's log. Of the changes of other members, only deaths
+    are logged: otherwise every process would log every other one at each start and release."""
 
     def info(self, event: str, **fields: object) -> None:
         if fields.get("state", "dead") == "dead":
@@ -101,7 +101,7 @@
 
 
 def timing_for(heartbeat_ms: float) -> Timing:
-    """The protocol's times, from the deployment's heartbeat: a death is known in about two of them."""
+    """The protocol's timing for a heartbeat interval: a death is detected in about two intervals."""
     period = max(500, round(heartbeat_ms * 10 / PERIODS_PER_HEARTBEAT))
     return Timing(
         period=period,
@@ -110,13 +110,13 @@
         spread=round(0.25 * period),
         swap=75 * period,
         keep=9_000 * period,
-        told=NEWS_TOLD,
+        told=RETRANSMIT_FACTOR,
         compare=True,
     )
 
 
 class MembershipNode:
-    """Runs the protocol in greenlets of its own and answers from the current view."""
+    """Runs the membership protocol in greenlets of its own and answers queries from the current view."""
 
     def __init__(self, settings: Settings, role: Role):
         self._settings = settings
@@ -139,43 +139,48 @@
             metadata=_own_metadata(settings, role),
         )
         self._host = Host(
-            self.member, tuple(address), self._clock.now, self._told, _ignore_count, _EventLog(), MAX_STREAMS
+            self.member,
+            tuple(address),
+            self._clock.now,
+            self._on_action,
+            _ignore_count,
+            _EventLog(),
+            MAX_STREAMS,
         )
 
     def start(self) -> None:
-        """Listen and join; returns at once, and goes on trying for as long as nobody answers.
+        """Listen and join. Returns at once; joining is retried until a member answers.
 
-        A data-plane process joins when it is ready, or a little later if it is not: what all have to be told
-        of it is told once.
+        A data-plane process joins when it is ready, or after `JOIN_UNREADY_AFTER_S`, so that usually one
+        update to all members is enough.
         """
-        self._changed()
+        self._on_view_changed()
         gevent.spawn(self._join_when_ready)
 
     def leave(self) -> None:
-        """Say that this process is about to stop, to every core member at once; it stays a member till
-        `stop`."""
-        self._describe(leaving=True, ready=False)
+        """Announce to the core members that this process is about to stop; it stays a member until `stop`."""
+        self._update_metadata(leaving=True, ready=False)
 
     def stop(self) -> None:
-        """Say that this process is gone, and close."""
+        """Announce that this process has left, and close."""
         self._stopped = True
         self._host.leave()
         self._host.close()
 
     def set_ready(self, ready: bool) -> None:
-        """Whether this process takes clients."""
-        if ready != self.member.me.metadata.ready:
-            self._describe(ready=ready)
+        """Publish whether this process accepts clients."""
+        if ready != self.member.own_record.metadata.ready:
+            self._update_metadata(ready=ready)
         if ready:
             self._ready.set()
 
     def members(self) -> list[MemberInfo]:
-        """The live ones by name, this process among them; the list is shared, not to be changed."""
+        """The live members by name, this process among them; a cached list that callers must not change."""
         if self._members is None:
             self._members = [
-                _member_info(word, self._settings.zones)
-                for word in self.member.live()
-                if word.metadata is not None
+                _member_info(record, self._settings.zones)
+                for record in self.member.live_members()
+                if record.metadata is not None
             ]
         return self._members
 
@@ -183,31 +188,33 @@
         """The hosts of live processes that have a replica of the control state."""
         return [member.host for member in self.members() if member.role == Role.CORE]
 
-    def zones_in_doubt(self) -> frozenset[str]:
-        """Zones that may be lost as a whole, by the members that are suspected or were found dead of late."""
+    def suspected_zones(self) -> frozenset[str]:
+        """Zones that may have failed as a whole, judged by members suspected or recently found dead."""
         members = self.members()
-        since = self._clock.now() - round(DEATH_TELLS_S * SECOND)
+        since = self._clock.now() - round(DEATH_EVIDENCE_S * SECOND)
         lost = [member.zone for member in members if member.suspected]
-        lost += [word.metadata.zone for word in self._dead_since(since)]
-        return zones_in_doubt((member.zone for member in members if not member.suspected), lost)
+        lost += [record.metadata.zone for record in self._dead_since(since)]
+        return suspected_zones((member.zone for member in members if not member.suspected), lost)
 
-    def _dead_since(self, since: int) -> list[Word]:
+    def _dead_since(self, since: int) -> list[MemberRecord]:
         view = self.member.view
         return [
-            word
-            for word in view.words.values()
-            if word.state == State.DEAD and word.metadata is not None and view.since[word.name] > since
+            record
+            for record in view.records.values()
+            if record.state == State.DEAD
+            and record.metadata is not None
+            and view.state_since[record.name] > since
         ]
 
     def is_member(self, name: str) -> bool:
-        """Whether a process of that name lives, as far as is known."""
+        """Whether a process of that name is alive, as far as is known."""
         return any(member.name == name for member in self.members())
 
     def data_plane_count(self) -> int:
-        """Data-plane members for shares of a shared budget: the live ones, and those lost of late."""
+        """Number of data-plane members that share a budget: live ones and recently lost ones."""
         live = sum(member.role == Role.EDGE for member in self.members())
-        since = self._clock.now() - round(LOST_COUNTS_S * SECOND)
-        lost = sum(word.metadata.role == Role.EDGE for word in self._dead_since(since))
+        since = self._clock.now() - round(LOST_MEMBER_COUNTED_S * SECOND)
+        lost = sum(record.metadata.role == Role.EDGE for record in self._dead_since(since))
         return max(1 if self.member.joined else ASSUMED_BEFORE_JOINING, live + lost)
 
     def _join_when_ready(self) -> None:
@@ -216,23 +223,25 @@
         if not self._stopped:
             self._host.start()
 
-    def _describe(self, **changes: object) -> None:
-        metadata = msgspec.structs.replace(self.member.me.metadata, **changes)
-        cores = [Address(*word.address) for word in self.member.view.live() if _is_told_at_once(word)]
-        self._host.describe(metadata, cores)
+    def _update_metadata(self, **changes: object) -> None:
+        metadata = msgspec.structs.replace(self.member.own_record.metadata, **changes)
+        directories = [
+            Address(*record.address) for record in self.member.view.live_records() if _is_directory(record)
+        ]
+        self._host.set_metadata(metadata, directories)
         for delay_s in REPEAT_AFTER_S:
-            gevent.spawn_later(delay_s, self._host.tell, cores)
-        self._changed()
+            gevent.spawn_later(delay_s, self._host.announce_to, directories)
+        self._on_view_changed()
 
-    def _told(self, act: Act) -> None:
-        if not isinstance(act, Changed):
+    def _on_action(self, action: Action) -> None:
+        if not isinstance(action, MemberChanged):
             return
-        if act.before is None and act.word.live and _is_told_at_once(act.word):
-            # A core member that has just come may have been told of this one by somebody who knows less.
-            self._host.tell([Address(*act.word.address)])
-        self._changed()
+        if action.previous_state is None and action.record.live and _is_directory(action.record):
+            # A directory member that has just joined may have received an outdated record of this one.
+            self._host.announce_to([Address(*action.record.address)])
+        self._on_view_changed()
 
-    def _changed(self) -> None:
+    def _on_view_changed(self) -> None:
         self._members = None
         for callback in self.on_change:
             callback()
@@ -244,23 +253,23 @@
     return Metadata(str(role), settings.zone, port)
 
 
-def _is_told_at_once(word: Word) -> bool:
-    return word.metadata is not None and word.metadata.role in DIRECTORY_ROLES
+def _is_directory(record: MemberRecord) -> bool:
+    return record.metadata is not None and record.metadata.role in DIRECTORY_ROLES
 
 
-def _member_info(word: Word, regions: dict[str, str]) -> MemberInfo:
-    about = word.metadata
+def _member_info(record: MemberRecord, regions: dict[str, str]) -> MemberInfo:
+    metadata = record.metadata
     return MemberInfo(
-        name=word.name,
-        role=about.role,
-        zone=about.zone,
-        region=regions.get(about.zone, about.zone),
-        host=word.host,
-        frontend=f"{word.host}:{about.frontend_port}" if about.frontend_port else None,
-        ready=about.ready,
-        leaving=about.leaving,
-        suspected=word.state == State.SUSPECT,
-        incarnation=word.life,
+        name=record.name,
+        role=metadata.role,
+        zone=metadata.zone,
+        region=regions.get(metadata.zone, metadata.zone),
+        host=record.host,
+        frontend=f"{record.host}:{metadata.frontend_port}" if metadata.frontend_port else None,
+        ready=metadata.ready,
+        leaving=metadata.leaving,
+        suspected=record.state == State.SUSPECT,
+        incarnation=record.started_at,
     )
 
 
--- a/src/nettledeal/membership/packets.py
+++ b/src/nettledeal/membership/packets.py
@@ -1,7 +1,8 @@
-"""What members say to each other, and its form on the wire: one array a message, bounded; msgpack here, and
-whatever another `Codec` makes of it.
+"""Messages between members and their wire format: one bounded array per message, encoded as msgpack here or
+by another `Codec`.
 
-Whatever comes is read or refused as a whole; a refusal costs only the message and says why, to be counted.
+A message is decoded as a whole or rejected as a whole. Rejecting costs only that message, and the error text
+is the reason under which it is counted.
 """
 
 from __future__ import annotations
@@ -10,95 +11,109 @@
 
 import msgspec
 
-from nettledeal.membership.view import Order, Word
+from nettledeal.membership.view import MemberRecord, OperatorOrder
 
 VERSION = 1
-# A datagram that no usual network cuts up; a whole view goes by stream.
-MOST_DATAGRAM = 1200
-MOST_STREAM = 1 << 20
-
-PING, ACK, NACK, ASK, TELL, SWAP, SWAPPED = "ping", "ack", "nack", "ask", "tell", "swap", "swapped"
-# Asks whether two views are one, by the digest that it has for its number; the answer is SAME or SWAPPED.
+# Small enough that usual networks don't fragment the datagram; a full view is sent over a stream.
+MAX_DATAGRAM_BYTES = 1200
+MAX_STREAM_BYTES = 1 << 20
+
+PING, ACK, NACK, PING_REQUEST, GOSSIP, SYNC_REQUEST, SYNC_RESPONSE = (
+    "ping",
+    "ack",
+    "nack",
+    "ask",
+    "tell",
+    "swap",
+    "swapped",
+)
+# COMPARE carries the digest of the sender's view in place of the sequence number. The answer is SAME if the
+# digests are equal, otherwise SYNC_RESPONSE.
 COMPARE, SAME = "compare", "same"
-_KINDS = frozenset((PING, ACK, NACK, ASK, TELL, SWAP, SWAPPED, COMPARE, SAME))
+_KINDS = frozenset((PING, ACK, NACK, PING_REQUEST, GOSSIP, SYNC_REQUEST, SYNC_RESPONSE, COMPARE, SAME))
 
 
-class Refusal(ValueError):
-    """A message that is none; the text is one of few, so that it can be counted by."""
+class PacketError(ValueError):
+    """A message that can't be accepted. The text is one of a few fixed reasons, used as a counter name."""
 
 
 class Packet(msgspec.Struct, array_like=True):
-    """`number` ties an answer to its question. `sender` is the sender's own word, so each message also says
-    that it lives; `target` whom a question is for, with its address where another is to ask it."""
+    """A message between members.
+
+    `sequence_number` matches an answer to its request. `sender` is the sender's own record, so every message
+    also shows that the sender is alive. `target` is the member that a ping is meant for; in an indirect probe
+    it gives the address to ping."""
 
     version: int
     cluster: str
     kind: str
-    number: int
-    sender: Word
-    target: Word | None = None
-    words: list[Word] = []
-    orders: list[Order] = []
+    sequence_number: int
+    sender: MemberRecord
+    target: MemberRecord | None = None
+    records: list[MemberRecord] = []
+    orders: list[OperatorOrder] = []
 
 
 class Codec(Protocol):
-    """The form of packets on the wire."""
+    """Wire format of packets."""
 
-    def encode(self, value: Packet | Word | Order) -> bytes:
-        """The bytes of a packet, or of a part of one to know its size."""
+    def encode(self, value: Packet | MemberRecord | OperatorOrder) -> bytes:
+        """Encode a packet, or a part of one to learn its size."""
 
-    def decode(self, raw: bytes, cluster: str, most: int) -> Packet:
-        """Raises Refusal; `most` is the largest size in bytes."""
+    def decode(self, raw: bytes, cluster: str, max_bytes: int) -> Packet:
+        """Decode and validate a packet of at most `max_bytes`. Raises PacketError."""
 
 
 _decoder = msgspec.msgpack.Decoder(Packet)
-# What reading noise may raise: also keys that cannot be, and nesting without end. One that got through would
-# end the greenlet that hears.
-_NO_MESSAGE = (msgspec.MsgspecError, UnicodeDecodeError, TypeError, ValueError, RecursionError)
-encoded = msgspec.msgpack.Encoder().encode
+# Everything that decoding arbitrary bytes may raise, also for unhashable map keys and unbounded nesting. An
+# exception outside this tuple would end the receiving greenlet.
+_DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, TypeError, ValueError, RecursionError)
+encode_msgpack = msgspec.msgpack.Encoder().encode
 
 
-def decoded(raw: bytes, cluster: str, most: int) -> Packet:
-    """Raises Refusal."""
-    if len(raw) > most:
-        raise Refusal("oversized")
+def decode_msgpack(raw: bytes, cluster: str, max_bytes: int) -> Packet:
+    """Decode and validate a packet of at most `max_bytes`. Raises PacketError."""
+    if len(raw) > max_bytes:
+        raise PacketError("oversized")
     try:
         packet = _decoder.decode(raw)
-    except _NO_MESSAGE:
-        raise Refusal("another version" if _foreign(raw) else "garbled") from None
-    return checked(packet, cluster)
+    except _DECODE_ERRORS:
+        raise PacketError("another version" if _is_other_version(raw) else "garbled") from None
+    return validated(packet, cluster)
 
 
-def checked(packet: Packet, cluster: str) -> Packet:
-    """The packet if it is one of this version and cluster; raises Refusal."""
+def validated(packet: Packet, cluster: str) -> Packet:
+    """Return the packet if its version, cluster, kind and sequence number are valid. Raises PacketError."""
     if packet.version != VERSION:
-        raise Refusal("another version")
+        raise PacketError("another version")
     if packet.cluster != cluster:
-        raise Refusal("another cluster")
-    if packet.kind not in _KINDS or not 0 <= packet.number < 1 << 62:
-        raise Refusal("garbled")
+        raise PacketError("another cluster")
+    if packet.kind not in _KINDS or not 0 <= packet.sequence_number < 1 << 62:
+        raise PacketError("garbled")
     return packet
 
 
-def _foreign(raw: bytes) -> bool:
-    """Whether it begins as a message of another version would, whatever that has behind its number."""
+def _is_other_version(raw: bytes) -> bool:
+    """Whether the bytes start with another version number, whatever follows it."""
     try:
-        found = msgspec.msgpack.decode(raw)
-    except _NO_MESSAGE:
+        decoded = msgspec.msgpack.decode(raw)
+    except _DECODE_ERRORS:
         return False
-    return of_another_version(found)
+    return has_other_version(decoded)
 
 
-def of_another_version(found: object) -> bool:
-    """Whether what was decoded begins as a message of another version does."""
-    return isinstance(found, list) and bool(found) and isinstance(found[0], int) and found[0] != VERSION
+def has_other_version(decoded: object) -> bool:
+    """Whether a decoded value is an array that starts with another version number."""
+    return (
+        isinstance(decoded, list) and bool(decoded) and isinstance(decoded[0], int) and decoded[0] != VERSION
+    )
 
 
 class MsgpackCodec:
-    """Packets as msgpack, by the functions above."""
+    """Packets as msgpack."""
 
-    def encode(self, value: Packet | Word | Order) -> bytes:
-        return encoded(value)
+    def encode(self, value: Packet | MemberRecord | OperatorOrder) -> bytes:
+        return encode_msgpack(value)
 
-    def decode(self, raw: bytes, cluster: str, most: int) -> Packet:
-        return decoded(raw, cluster, most)
+    def decode(self, raw: bytes, cluster: str, max_bytes: int) -> Packet:
+        return decode_msgpack(raw, cluster, max_bytes)
--- a/src/nettledeal/membership/pending.py
+++ b/src/nettledeal/membership/pending.py
@@ -1,4 +1,4 @@
-"""What a member is waiting for: the end of a probe, and the end of a suspicion."""
+"""What a member is waiting for: the result of a probe, and the end of a suspicion."""
 
 from __future__ import annotations
 
@@ -6,36 +6,44 @@
 
 import msgspec
 
-from nettledeal.membership.view import Word
+from nettledeal.membership.view import MemberRecord
 from nettledeal.units import Time
 
-# A suspicion with one accuser alone lasts so many times the least.
-DOUBT = 3.0
+# A suspicion that no other member confirms lasts this many times the minimum.
+MAX_SUSPICION_FACTOR = 3.0
 
 
 class Probe(msgspec.Struct):
-    """A probe of a member, sent at a time; how many others were asked, and how many had no answer either."""
+    """A probe in progress. `relays` is the number of members asked to probe indirectly, `nacks` how many of
+    them reported that they got no ack either."""
 
-    word: Word
-    number: int
-    at: Time
-    asked: int = 0
+    record: MemberRecord
+    sequence_number: int
+    sent_at: Time
+    relays: int = 0
     nacks: int = 0
 
 
 class Suspicion(msgspec.Struct):
-    """Since when a member is suspected, by whom, and how many accusers make it as short as it gets."""
+    """A suspected member: since when, suspected by whom, and how many confirmations shorten the suspicion to
+    the minimum."""
 
     since: Time
-    least: float
-    by: set[str]
-    needed: int
-    delayed: Time = 0
-    asked: bool = False  # whether the accused has been asked once more
+    min_duration: float
+    accusers: set[str]
+    confirmations_needed: int
+    delayed_by: Time = 0
+    accused_asked: bool = False  # whether the accused has been pinged once more
 
     @property
-    def end(self) -> Time:
-        """Shrinks with the logarithm of those who accuse independently."""
-        most = DOUBT * self.least
-        part = log(len(self.by)) / log(self.needed + 1) if self.needed else 1.0
-        return self.since + self.delayed + round(max(self.least, most - (most - self.least) * part))
+    def ends_at(self) -> Time:
+        """The timeout shrinks with the logarithm of the number of independent accusers."""
+        max_duration = MAX_SUSPICION_FACTOR * self.min_duration
+        confirmed = (
+            log(len(self.accusers)) / log(self.confirmations_needed + 1) if self.confirmations_needed else 1.0
+        )
+        return (
+            self.since
+            + self.delayed_by
+            + round(max(self.min_duration, max_duration - (max_duration - self.min_duration) * confirmed))
+        )
--- a/src/nettledeal/membership/view.py
+++ b/src/nettledeal/membership/view.py
@@ -1,7 +1,8 @@
-"""What is known of members and of orders, merged from news in any order and any number of times.
+"""A member's view of the group: the latest record of each member and the latest operator order per subject.
 
-Each piece of news has a rank that only rises, so merging is the greater of two: associative, commutative and
-idempotent. Whoever has heard the same news has the same view, whatever way and however often it came.
+Each update has a rank that only rises, and merging keeps the higher rank. Merging is therefore associative,
+commutative and idempotent: members that have received the same updates hold the same view, in whatever order
+and however often the updates arrived.
 """
 
 from __future__ import annotations
@@ -14,28 +15,29 @@
 from nettledeal.net.address import Address
 from nettledeal.units import Time
 
-# Refutations of one life; more cannot come about in years, and a forged one could not be exceeded.
-MOST_INCARNATION = 1 << 24
-# Names and addresses are short; what is longer is no news.
-MOST_NAME = 64
-# Members and orders that one view holds; forged news must not fill the memory.
-MOST_MEMBERS = 4096
-MOST_ORDERS = 4096
+# No process refutes this often in years of running. A forged incarnation at the top of the range could not be
+# exceeded by the member itself, so higher ones are rejected.
+MAX_INCARNATION = 1 << 24
+# Longer names and hosts are rejected as invalid.
+MAX_NAME_LENGTH = 64
+# Bounds of one view, so that forged updates can't exhaust the memory.
+MAX_MEMBERS = 4096
+MAX_ORDERS = 4096
 
 
 class State(IntEnum):
-    """Of one incarnation, in the order in which they overrule each other."""
+    """State of a member. Within one incarnation the higher value overrides the lower."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # by its own word, or forgotten by an operator's
+    LEFT = 3  # announced by the member itself, or set by an operator who forgets a dead member
 
 
 class Metadata(msgspec.Struct, array_like=True, frozen=True):
-    """What a member says of itself beyond its address: it changes only with a higher incarnation.
+    """What a member publishes about itself beyond its address. It changes only with a higher incarnation.
 
-    `frontend_port` is 0 for a member that serves no clients; its host is the member's own."""
+    `frontend_port` is 0 for a member that serves no clients; the frontend's host is the member's own."""
 
     role: str
     zone: str
@@ -44,25 +46,29 @@
     leaving: bool = False
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True):
-    """News of one member. `life` is when its process started (Unix time, tenths of a millisecond), so a
-    restart under the same name overrules all that was said of the one before; `incarnation` is raised by
-    itself alone, to refute. `by` says who accuses."""
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
+    """An update about one member.
+
+    `started_at` is when its process started (Unix time in tenths of a millisecond), so that a restart under
+    the same name overrides everything known of the earlier process. Only the member itself raises
+    `incarnation`, to refute a suspicion or to change its metadata. `accuser` names the member that suspects
+    it or declared it dead."""
 
     name: str
     host: str
     port: int
-    life: Time
+    started_at: Time
     incarnation: int
     state: int
-    by: str = ""
-    place: int = 0  # its zone, by number
+    accuser: str = ""
+    zone_number: int = 0
     metadata: Metadata | None = None
 
     @property
     def rank(self) -> tuple:
-        # The address last: two of one life and name are a fault, and all must take the same one for it.
-        return self.life, self.incarnation, self.state, self.host, self.port
+        # The address comes last: two processes with the same name and start time are a fault, and all members
+        # must settle on the same one of them.
+        return self.started_at, self.incarnation, self.state, self.host, self.port
 
     @property
     def address(self) -> Address:
@@ -73,75 +79,88 @@
         return self.state <= State.SUSPECT
 
 
-class Order(msgspec.Struct, array_like=True, frozen=True):
-    """An operator's order that binds all, of one subject; the newest one holds."""
+class OperatorOrder(msgspec.Struct, array_like=True, frozen=True):
+    """An operator's order to cordon or uncordon one subject on all members; the newest order per subject is
+    in force."""
 
     subject: str
-    at: Time
-    by: str
-    out: bool
+    issued_at: Time
+    issued_by: str
+    cordoned: bool
 
     @property
     def rank(self) -> tuple:
-        return self.at, self.by, self.out
+        return self.issued_at, self.issued_by, self.cordoned
 
 
-def sound(word: Word, until: Time) -> bool:
-    """Whether it can be news: of a state and name there can be, and not from a time to come (`until`), which
-    nothing that is true could ever overrule."""
+def is_valid_record(record: MemberRecord, latest: Time) -> bool:
+    """Whether the fields are in range and the start time is no later than `latest`: a record from the future
+    could never be overridden by a correct one."""
     return (
-        0 < len(word.name) <= MOST_NAME
-        and 0 < len(word.host) <= MOST_NAME
-        and len(word.by) <= MOST_NAME
-        and 0 < word.port < 65536
-        and 0 <= word.life <= until
-        and 0 <= word.incarnation < MOST_INCARNATION
-        and State.ALIVE <= word.state <= State.LEFT
+        0 < len(record.name) <= MAX_NAME_LENGTH
+        and 0 < len(record.host) <= MAX_NAME_LENGTH
+        and len(record.accuser) <= MAX_NAME_LENGTH
+        and 0 < record.port < 65536
+        and 0 <= record.started_at <= latest
+        and 0 <= record.incarnation < MAX_INCARNATION
+        and State.ALIVE <= record.state <= State.LEFT
     )
 
 
-def sound_order(order: Order, until: Time) -> bool:
-    return 0 < len(order.subject) <= 2 * MOST_NAME and len(order.by) <= MOST_NAME and 0 <= order.at <= until
+def is_valid_order(order: OperatorOrder, latest: Time) -> bool:
+    return (
+        0 < len(order.subject) <= 2 * MAX_NAME_LENGTH
+        and len(order.issued_by) <= MAX_NAME_LENGTH
+        and 0 <= order.issued_at <= latest
+    )
 
 
 class View(msgspec.Struct):
-    """The latest word of each member and order; `since` when it came here."""
+    """The latest record of each member and the latest order per subject.
+
+    `state_since` is the local time at which the member's current state (or a new process of it) was first
+    seen here."""
 
-    words: dict[str, Word] = {}
-    since: dict[str, Time] = {}
-    orders: dict[str, Order] = {}
+    records: dict[str, MemberRecord] = {}
+    state_since: dict[str, Time] = {}
+    orders: dict[str, OperatorOrder] = {}
 
-    def merge(self, word: Word, now: Time) -> Word | None:
-        """Takes it where it is newer; the word that held before, or the same one where it is the first.
-        None where nothing changes."""
-        old = self.words.get(word.name)
-        if old is not None and word.rank <= old.rank:
+    def merge(self, record: MemberRecord, now: Time) -> MemberRecord | None:
+        """Store the record if it is newer. Returns the record that it replaced, the record itself if the
+        member was unknown, or None if nothing changed."""
+        previous = self.records.get(record.name)
+        if previous is not None and record.rank <= previous.rank:
             return None
-        if old is None and len(self.words) >= MOST_MEMBERS:
+        if previous is None and len(self.records) >= MAX_MEMBERS:
             return None
-        self.words[word.name] = word
-        # A suspicion keeps the time of the state it interrupts: what counts of a live one is how long it
-        # lives.
-        if old is None or old.state != word.state or old.life != word.life:
-            self.since[word.name] = now
-        return old or word
-
-    def ordered(self, order: Order) -> bool:
-        """Takes it where it is newer; whether it was."""
-        old = self.orders.get(order.subject)
-        if old is None and len(self.orders) >= MOST_ORDERS or old is not None and order.rank <= old.rank:
+        self.records[record.name] = record
+        # A higher incarnation in the same state keeps the time at which that state began.
+        if previous is None or previous.state != record.state or previous.started_at != record.started_at:
+            self.state_since[record.name] = now
+        return previous or record
+
+    def merge_order(self, order: OperatorOrder) -> bool:
+        """Store the order if it is newer; returns whether it was."""
+        previous = self.orders.get(order.subject)
+        if (
+            previous is None
+            and len(self.orders) >= MAX_ORDERS
+            or previous is not None
+            and order.rank <= previous.rank
+        ):
             return False
         self.orders[order.subject] = order
         return True
 
-    def drop_orders(self, before: Time) -> None:
-        """Orders that ask for nothing any more, since so long that none older can still be on its way."""
-        for subject in [o.subject for o in self.orders.values() if not o.out and o.at < before]:
+    def drop_lifted_orders(self, before: Time) -> None:
+        """Remove uncordon orders issued before that time, when no older cordon order can still be in
+        transit."""
+        for subject in [o.subject for o in self.orders.values() if not o.cordoned and o.issued_at < before]:
             del self.orders[subject]
 
-    def live(self) -> Iterator[Word]:
-        return (word for word in self.words.values() if word.live)
+    def live_records(self) -> Iterator[MemberRecord]:
+        return (record for record in self.records.values() if record.live)
 
-    def drop(self, names: Iterable[str]) -> None:
+    def remove(self, names: Iterable[str]) -> None:
         for name in names:
-            del self.words[name], self.since[name]
+            del self.records[name], self.state_since[name]
--- a/src/nettledeal/membership_settings.py
+++ b/src/nettledeal/membership_settings.py
@@ -1,4 +1,4 @@
-"""The key `membership` of an agent's file: read, checked and given defaults."""
+"""The section `membership` of an agent's configuration file: validation, defaults and conversion of units."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MembershipSection(msgspec.Struct, forbid_unknown_fields=True):
-    """The key as the file has it."""
+    """The section as it stands in the file."""
 
     listen: str
     seeds: list[str]
@@ -30,69 +30,71 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """How an agent talks with others, where it may: `timing` in tenths of a millisecond."""
+    """Membership settings of an agent; `timing` is in tenths of a millisecond."""
 
     listen: Address
-    advertise: Address  # where others reach it
+    advertise: Address  # where other members reach it
     cluster: str
     seeds: tuple[Address, ...]
     timing: Mapping[str, int]
 
 
-def membership_settings(name: str, told: MembershipSection) -> MembershipSettings:
-    """Those of the agent of that name. Raises ConfigError naming the key at fault."""
+def membership_settings(name: str, section: MembershipSection) -> MembershipSettings:
+    """Settings of the agent of that name. Raises ConfigError that names the invalid key."""
     if not 0 < len(name) <= 64:
-        raise ConfigError("name: agents that talk are told apart by it, and it has up to 64 characters")
-    listen = _place("membership.listen", told.listen)
-    advertise = _place("membership.advertise", told.advertise) if told.advertise else listen
+        raise ConfigError("name: membership identifies agents by it, and it has 1 to 64 characters")
+    listen = _parse_ip_address("membership.listen", section.listen)
+    advertise = _parse_ip_address("membership.advertise", section.advertise) if section.advertise else listen
     if ip_address(advertise[0]).is_unspecified:
-        raise ConfigError("membership.advertise: others cannot reach it at an address that stands for all")
-    if not told.seeds:
-        raise ConfigError("membership.seeds: none is named; the first agent of all may name itself")
-    seeds = tuple(_place(f"membership.seeds.{n}", seed) for n, seed in enumerate(told.seeds))
-    for key, place in (("advertise", advertise), *((f"seeds.{n}", seed) for n, seed in enumerate(seeds))):
-        if (":" in place[0]) != (":" in listen[0]):
-            raise ConfigError(f"membership.{key}: {place[0]} is of another family than {listen[0]}")
-    if not 0 < len(told.cluster) <= 64:
+        raise ConfigError("membership.advertise: others cannot connect to a wildcard address")
+    if not section.seeds:
+        raise ConfigError("membership.seeds: none is named; the first agent of a cluster may name itself")
+    seeds = tuple(_parse_ip_address(f"membership.seeds.{n}", seed) for n, seed in enumerate(section.seeds))
+    for key, other in (("advertise", advertise), *((f"seeds.{n}", seed) for n, seed in enumerate(seeds))):
+        if (":" in other[0]) != (":" in listen[0]):
+            raise ConfigError(f"membership.{key}: {other[0]} is of another family than {listen[0]}")
+    if not 0 < len(section.cluster) <= 64:
         raise ConfigError("membership.cluster: a name has 1 to 64 characters")
-    _check_times(told)
+    _check_times(section)
     return MembershipSettings(
         listen,
         advertise,
-        told.cluster,
+        section.cluster,
         seeds,
         {
-            "period": told.period_ms * 10,
-            "probe": told.probe_ms * 10,
-            "suspicion": told.suspicion_ms * 10,
-            "spread": told.spread_ms * 10,
-            "swap": told.swap_s * SECOND,
-            "keep": told.keep_s * SECOND,
+            "period": section.period_ms * 10,
+            "probe": section.probe_ms * 10,
+            "suspicion": section.suspicion_ms * 10,
+            "spread": section.spread_ms * 10,
+            "swap": section.swap_s * SECOND,
+            "keep": section.keep_s * SECOND,
         },
     )
 
 
-def _check_times(told: MembershipSection) -> None:
+def _check_times(section: MembershipSection) -> None:
     for key in ("period_ms", "probe_ms", "suspicion_ms", "spread_ms", "swap_s", "keep_s"):
-        if not 0 < getattr(told, key) <= 24 * 3600 * 1000:
-            raise ConfigError(f"membership.{key}: {getattr(told, key)} is no number from 1 to a day")
-    for less, more in (("probe_ms", "period_ms"), ("period_ms", "suspicion_ms")):
-        if getattr(told, less) >= getattr(told, more):
-            last = getattr(told, less)
-            raise ConfigError(f"membership.{more}: {getattr(told, more)} is not above {less}, {last}")
-    if told.keep_s * 1000 < 10 * told.suspicion_ms:
+        if not 0 < getattr(section, key) <= 24 * 3600 * 1000:
+            raise ConfigError(f"membership.{key}: {getattr(section, key)} is not from 1 to 86400000")
+    for smaller, larger in (("probe_ms", "period_ms"), ("period_ms", "suspicion_ms")):
+        if getattr(section, smaller) >= getattr(section, larger):
+            lower = getattr(section, smaller)
+            raise ConfigError(
+                f"membership.{larger}: {getattr(section, larger)} is not above {smaller}, {lower}"
+            )
+    if section.keep_s * 1000 < 10 * section.suspicion_ms:
         raise ConfigError(
-            f"membership.keep_s: {told.keep_s} is under ten times suspicion_ms; old news lasts so"
+            f"membership.keep_s: {section.keep_s} is under ten times suspicion_ms; old updates live so long"
         )
 
 
-def _place(key: str, text: str) -> Address:
-    """Of agents among each other: numbers, as names would have to be looked up amid an outage."""
-    place = address(key, text)
+def _parse_ip_address(key: str, text: str) -> Address:
+    """Parse an address and port. Host names are rejected: they may not resolve during an outage."""
+    parsed = address(key, text)
     try:
-        ip_address(place[0])
+        ip_address(parsed[0])
     except ValueError:
-        raise ConfigError(f"{key}: {place[0]!r} is no IP address") from None
-    if not place[1]:
+        raise ConfigError(f"{key}: {parsed[0]!r} is no IP address") from None
+    if not parsed[1]:
         raise ConfigError(f"{key}: a port is needed")
-    return place
+    return parsed
--- a/src/nettledeal/peers.py
+++ b/src/nettledeal/peers.py
@@ -1,8 +1,8 @@
-"""An agent among others that it can talk with: what membership tells it, and what it makes of that.
+"""Connects the membership of an agent to its router: how other agents' state affects this one.
 
-Program's layer: it wires `membership/` to the router and decides nothing itself. How many agents there are
-and which one this is come from `census.py`, its part of the fleet from `dealing.py`, and cordons from the
-newest order heard. An agent without the key `membership` never loads this.
+How many agents there are and which one this is come from `membership/stable_view.py`, the agent's subset of
+the backends from `membership/subsetting.py`, and cordons from the newest operator order received. An agent
+without the setting `membership` never loads this module.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 import structlog
 
 from nettledeal.learned_state import set_fleet_size
-from nettledeal.membership.census import Census, missed
-from nettledeal.membership.dealing import deal
-from nettledeal.membership.host import Host, spoken
+from nettledeal.membership.actions import Action, MemberChanged, NameConflict, OrderReceived, Timing
+from nettledeal.membership.host import Host, state_name
 from nettledeal.membership.member import Member
-from nettledeal.membership.steps import Act, Changed, Ordered, Timing, Usurped
+from nettledeal.membership.stable_view import StableView, count_left_and_dead
+from nettledeal.membership.subsetting import assign_subsets
 from nettledeal.membership_settings import MembershipSettings
 from nettledeal.net.address import written
 from nettledeal.net.clock import SECOND, Clock
@@ -30,20 +30,23 @@
 
 log = structlog.get_logger()
 
-# How often the census looks whether a view has stood long enough.
-LOOK = 0.5
+# Interval at which the current view is checked for having been stable long enough.
+VIEW_CHECK_S = 0.5
 
 
 @lru_cache(maxsize=4)
-def dealt_out(agents: tuple[str, ...], backends: tuple[str, ...], width: int) -> Mapping[str, Sequence[str]]:
-    """`deal`, worked out anew only where somebody has come or gone: it is asked for at every look."""
-    return deal(agents, backends, width)
+def cached_subsets(
+    agents: tuple[str, ...], backends: tuple[str, ...], width: int
+) -> Mapping[str, Sequence[str]]:
+    """`assign_subsets`, computed again only when an agent or a backend has come or gone, though it is asked
+    for at every check of the view."""
+    return assign_subsets(agents, backends, width)
 
 
 class Peers:
     def __init__(
         self,
-        told: MembershipSettings,
+        settings: MembershipSettings,
         name: str,
         zone: int,
         seed: int,
@@ -52,126 +55,136 @@
         router: Router,
         cordon: Callable[[str, bool], None],
     ):
-        """`cordon` puts an order of another agent in force here."""
+        """`cordon` applies an order received from another agent."""
         self.router, self.clock, self.counters, self.cordon = router, clock, counters, cordon
-        self.census = Census()
+        self.stable_view = StableView()
         self.zone = zone
-        self.dealt: tuple[str, ...] = ()
+        self.subset: tuple[str, ...] = ()
         self.member = Member(
             name,
-            told.advertise,
-            told.cluster,
-            told.seeds,
-            Timing(**told.timing),
+            settings.advertise,
+            settings.cluster,
+            settings.seeds,
+            Timing(**settings.timing),
             Random(seed),
             clock.now(),
             zone,
         )
-        self.host = Host(self.member, told.listen, clock.now, self._heard, self._count, log)
-        self.jobs: list[gevent.Greenlet] = []
+        self.host = Host(self.member, settings.listen, clock.now, self._on_action, self._count, log)
+        self.greenlets: list[gevent.Greenlet] = []
 
     def start(self) -> None:
         self.host.start()
-        self.jobs.append(gevent.spawn(self._mind))
+        self.greenlets.append(gevent.spawn(self._check_view_periodically))
 
-    def end(self, heir: bool) -> None:
-        """Says that it leaves, unless another process of this agent goes on under its name."""
-        if not heir:
+    def stop(self, has_successor: bool) -> None:
+        """Stop, and announce the departure unless another process of this agent continues under its name."""
+        if not has_successor:
             self.host.leave()
-        gevent.killall(self.jobs, block=False)
+        gevent.killall(self.greenlets, block=False)
         self.host.close()
 
-    def ordered(self, backend: str, out: bool) -> None:
-        """An order that an operator gave here, and that has been carried out here."""
-        self.host.order(backend, out)
+    def publish_order(self, backend: str, cordoned: bool) -> None:
+        """Disseminate an operator's order that this agent has already carried out."""
+        self.host.issue_order(backend, cordoned)
 
     def forget(self, name: str) -> bool:
         return self.host.forget(name)
 
     def members(self) -> dict[str, Any]:
         now, member = self.clock.now(), self.member
-        words = sorted([*member.view.words.values(), member.me], key=lambda word: word.name)
+        records = sorted([*member.view.records.values(), member.own_record], key=lambda record: record.name)
         return {
             "name": member.name,
             "cluster": member.cluster,
             "joined": member.joined,
             "silent": member.silent,
-            "ill": member.health.ill,
-            "counted": self.census.full,
-            "sure": self.census.sure(*missed(member.view)),
-            "accused": member.health.accused,
-            "refuted": member.health.refuted,
-            "late": member.health.late,
+            "ill": member.health.score,
+            "counted": self.stable_view.size,
+            "sure": self.stable_view.is_plausible(*count_left_and_dead(member.view)),
+            "accused": member.health.suspicions_started,
+            "refuted": member.health.refutations,
+            "late": member.health.late_wakeups,
             "members": [
                 {
-                    "name": word.name,
-                    "at": written(word.address),
-                    "state": spoken(word.state),
-                    "by": word.by,
-                    "incarnation": word.incarnation,
-                    "for_s": round((now - member.view.since.get(word.name, member.me.life)) / SECOND, 1),
+                    "name": record.name,
+                    "at": written(record.address),
+                    "state": state_name(record.state),
+                    "by": record.accuser,
+                    "incarnation": record.incarnation,
+                    "for_s": round(
+                        (now - member.view.state_since.get(record.name, member.own_record.started_at))
+                        / SECOND,
+                        1,
+                    ),
                 }
-                for word in words
+                for record in records
             ],
         }
 
     def overlay(self) -> dict[str, Any]:
-        """Settings that stand for those of the file while a view is believed."""
-        if not self.census.names:
+        """Settings that override those of the file once a view has been accepted."""
+        if not self.stable_view.names:
             return {}
         state = self.router.balancer.state
-        return {"balancers": state.fleet, "me": state.me, "dealt": ",".join(self.dealt)}
+        return {"balancers": state.fleet, "me": state.me, "dealt": ",".join(self.subset)}
 
-    def _count(self, what: str) -> None:
-        self.counters[what] += 1
+    def _count(self, name: str) -> None:
+        self.counters[name] += 1
 
-    def _heard(self, act: Act) -> None:
-        if isinstance(act, Ordered):
-            # Carried out by a greenlet of its own: the router may be at work, and the member must not wait.
-            gevent.spawn(self.cordon, act.order.subject, act.order.out)
-        elif isinstance(act, Usurped):
+    def _on_action(self, action: Action) -> None:
+        if isinstance(action, OrderReceived):
+            # Applied in a greenlet of its own: the router may be busy, and the member must not wait for it.
+            gevent.spawn(self.cordon, action.order.subject, action.order.cordoned)
+        elif isinstance(action, NameConflict):
             self.counters["member: usurped"] += 1
-        elif isinstance(act, Changed) and act.word.state:
-            self.counters[f"member: others {spoken(act.word.state)}"] += 1
+        elif isinstance(action, MemberChanged) and action.record.state:
+            self.counters[f"member: others {state_name(action.record.state)}"] += 1
 
-    def _mind(self) -> None:
+    def _check_view_periodically(self) -> None:
         while True:
-            gevent.sleep(LOOK)
+            gevent.sleep(VIEW_CHECK_S)
             try:
-                self._look()
+                self._check_view()
             except Exception:
                 self.counters.fault("census")
 
-    def _look(self) -> None:
-        """What the module goes by follows a view that is believed; any other leaves all as it was."""
+    def _check_view(self) -> None:
+        """Pass a newly accepted view on to the balancer; any other view changes nothing."""
         member = self.member
         if member.silent or not member.joined:
             return
-        live = member.live()
-        changed = self.census.look([word.name for word in live], *missed(member.view), self.clock.now())
+        live = member.live_members()
+        changed = self.stable_view.observe(
+            [record.name for record in live], *count_left_and_dead(member.view), self.clock.now()
+        )
         if changed:
-            log.info("agents counted", agents=self.census.full)
-        if not self.census.names:
+            log.info("agents counted", agents=self.stable_view.size)
+        if not self.stable_view.names:
             return
-        dealt = self._dealt({word.name: word.place for word in live})
-        if changed or dealt != self.dealt:
-            self.dealt = dealt
-            number = self.census.names.index(member.name) if member.name in self.census.names else 0
+        subset = self._compute_subset({record.name: record.zone_number for record in live})
+        if changed or subset != self.subset:
+            self.subset = subset
+            own_index = (
+                self.stable_view.names.index(member.name) if member.name in self.stable_view.names else 0
+            )
             balancer, now = self.router.balancer, self.clock.now()
-            self.router.execute(set_fleet_size, balancer, now, self.census.full, number, dealt)
+            self.router.execute(set_fleet_size, balancer, now, self.stable_view.size, own_index, subset)
 
-    def _dealt(self, places: dict[str, int]) -> tuple[str, ...]:
-        """Home backends are dealt to the agents of their zone, all others to all that are not at home
-        there."""
+    def _compute_subset(self, zones: dict[str, int]) -> tuple[str, ...]:
+        """This agent's backends: a subset of those in its own zone, and a smaller one of the others. Both are
+        divided among the agents of its zone."""
         state = self.router.balancer.state
         if not state.subsetting:
             return ()
-        agents = [name for name in self.census.names if name in places]
-        found: list[str] = []
-        for home, width in ((True, SUBSET), (False, SUBSET // 2)):
-            group = tuple(
-                str(b.id) for b in state.backends.values() if b.runs and (b.listing.zone == self.zone) is home
+        agents = [name for name in self.stable_view.names if name in zones]
+        subset: list[str] = []
+        for is_home, width in ((True, SUBSET), (False, SUBSET // 2)):
+            backends = tuple(
+                str(b.id)
+                for b in state.backends.values()
+                if b.runs and (b.listing.zone == self.zone) is is_home
             )
-            mates = tuple(name for name in agents if places[name] == self.zone)
-            found += dealt_out(mates, group, width).get(self.member.name, ())
-        return tuple(found)
+            zone_agents = tuple(name for name in agents if zones[name] == self.zone)
+            subset += cached_subsets(zone_agents, backends, width).get(self.member.name, ())
+        return tuple(subset)
--- a/src/nettledeal/programs/data_plane.py
+++ b/src/nettledeal/programs/data_plane.py
@@ -96,7 +96,7 @@
         self._counting = None
         edges = [member.name for member in self.membership.members() if member.role == Role.EDGE]
         self.data_plane.set_data_plane_members(self.membership.data_plane_count(), edges)
-        self.data_plane.set_doubted_zones(self.membership.zones_in_doubt())
+        self.data_plane.set_doubted_zones(self.membership.suspected_zones())
 
 
 def _findings(report: BackendReport) -> BackendFindings:
--- a/src/nettledeal/registry/server.py
+++ b/src/nettledeal/registry/server.py
@@ -44,7 +44,7 @@
         members = self._membership.members()
         self._leaving.note(members, time.monotonic())
         self._directories.note(members)
-        self._answers.doubted = self._membership.zones_in_doubt()
+        self._answers.doubted = self._membership.suspected_zones()
         self._answers.clear()
 
     def application(self, environ: dict, start_response) -> Iterable[bytes]:
--- a/src/nettledeal_simulations/membership.py
+++ b/src/nettledeal_simulations/membership.py
@@ -16,9 +16,17 @@
 from random import Random
 from typing import Any
 
+from nettledeal.membership.actions import (
+    SECOND,
+    MemberChanged,
+    NameConflict,
+    SendDatagram,
+    Step,
+    StreamRequest,
+    Timing,
+)
 from nettledeal.membership.member import Member
-from nettledeal.membership.steps import SECOND, Call, Changed, Send, Step, Timing, Usurped
-from nettledeal.membership.view import State, Word
+from nettledeal.membership.view import MemberRecord, State
 from nettledeal.units import Time
 
 START: Time = 17_000_000_000_000
@@ -85,7 +93,7 @@
         self.weather = Weather()
         self.cuts: set[tuple[int, int]] = set()  # from, to
         self.nodes = [Node(n) for n in range(count)]
-        self.changes: list[tuple[Time, int, Changed]] = []  # true time, at whom, what
+        self.changes: list[tuple[Time, int, MemberChanged]] = []  # true time, at whom, what
         self.orders: list[tuple[Time, int, Any]] = []
         self.usurped: list[tuple[Time, int]] = []
         self.sent = self.bytes = self.bytes_between = 0
@@ -113,7 +121,7 @@
             self.timing,
             Random(f"{self.seed} {n} {node.life}"),
             now,
-            place=n % self.places,
+            zone_number=n % self.places,
         )
         self._do(node, node.member.start(now))
 
@@ -161,18 +169,18 @@
         self.now = until
 
     def _do(self, node: Node, step: Step) -> None:
-        for act in step.acts:
-            if isinstance(act, Send):
+        for act in step.actions:
+            if isinstance(act, SendDatagram):
                 self._send(node.number, act)
-            elif isinstance(act, Call):
+            elif isinstance(act, StreamRequest):
                 self._call(node, act)
-            elif isinstance(act, Changed):
+            elif isinstance(act, MemberChanged):
                 self.changes.append((self.now, node.number, act))
-            elif isinstance(act, Usurped):
+            elif isinstance(act, NameConflict):
                 self.usurped.append((self.now, node.number))
             else:
                 self.orders.append((self.now, node.number, act.order))
-        wake = step.wake - node.ahead
+        wake = step.wake_at - node.ahead
         # The earliest one stands; what was to come later finds nothing to do.
         if node.wake <= self.now or wake < node.wake:
             node.wake = wake
@@ -182,12 +190,12 @@
         node = self.nodes[n]
         if node.member is not None and node.life == life and not node.paused:
             node.wake = -1
-            self._do(node, node.member.wake(self.now + node.ahead))
+            self._do(node, node.member.on_timer(self.now + node.ahead))
 
     def _late(self) -> Time:
         return self.now + 1 + self.weather.delay + round(self.chance.random() * self.weather.jitter)
 
-    def _send(self, n: int, act: Send) -> None:
+    def _send(self, n: int, act: SendDatagram) -> None:
         self.sent += 1
         if self.weigh:
             self._weigh(n, self._number(act.address), act.packet)
@@ -214,9 +222,9 @@
         self._hand(node, packet, source)
 
     def _hand(self, node: Node, packet: Any, source: tuple[str, int]) -> None:
-        self._do(node, node.member.heard(self.now + node.ahead, packet, source))
+        self._do(node, node.member.on_datagram(self.now + node.ahead, packet, source))
 
-    def _call(self, node: Node, act: Call) -> None:
+    def _call(self, node: Node, act: StreamRequest) -> None:
         """A stream gets through whatever the loss, if late; a cut link or a stopped process say nothing."""
         n, to, life = node.number, self._number(act.address), node.life
         if self.weigh:
@@ -232,21 +240,21 @@
         else:
             self.at(self._late() + 3 * self.weather.delay, self._called, n, life, act, to)
 
-    def _called(self, n: int, life: int, act: Call, to: int) -> None:
+    def _called(self, n: int, life: int, act: StreamRequest, to: int) -> None:
         there = self.nodes[to]
         if there.member is None or there.paused:
             self.at(self.now + CALL_WITHIN, self._answered, n, life, act, None, there.member is None)
             return
-        answer, step = there.member.called(self.now + there.ahead, act.packet)
+        answer, step = there.member.on_stream_request(self.now + there.ahead, act.packet)
         if self.weigh and answer is not None:
             self._weigh(to, n, answer)
         self._do(there, step)
         self.at(self._late(), self._answered, n, life, act, answer, False)
 
-    def _answered(self, n: int, life: int, act: Call, answer: Any, refused: bool) -> None:
+    def _answered(self, n: int, life: int, act: StreamRequest, answer: Any, refused: bool) -> None:
         node = self.nodes[n]
         if node.member is not None and node.life == life and not node.paused:
-            self._do(node, node.member.answered(self.now + node.ahead, act, answer, refused))
+            self._do(node, node.member.on_stream_response(self.now + node.ahead, act, answer, refused))
 
     # What came of it.
 
@@ -314,7 +322,7 @@
 def promises(rehearsal: Rehearsal) -> list[str]:
     """What does not hold of the views now that all faults are over; empty where all is well."""
     up = rehearsal.up
-    true = {f"m{node.number}": node.member.me.life for node in up}
+    true = {f"m{node.number}": node.member.own_record.started_at for node in up}
     broken = []
     for node in up:
         member = node.member
@@ -322,19 +330,22 @@
             broken.append(f"m{node.number} says nothing, and nobody took its place")
             continue
         for name, life in true.items():
-            word = member.me if name == member.name else member.view.words.get(name)
-            if word is None or not word.live or word.life != life:
+            word = member.own_record if name == member.name else member.view.records.get(name)
+            if word is None or not word.live or word.started_at != life:
                 broken.append(f"m{node.number} holds live {name} for {_spoken(word)}")
-        for word in member.view.live():
+        for word in member.view.live_records():
             if word.name not in true:
                 broken.append(f"m{node.number} holds crashed {word.name} for {_spoken(word)}")
-    words = [{word.name: word.rank for word in (*node.member.view.live(), node.member.me)} for node in up]
+    words = [
+        {word.name: word.rank for word in (*node.member.view.live_records(), node.member.own_record)}
+        for node in up
+    ]
     if not broken and any(other != words[0] for other in words[1:]):
         broken.append("views differ")
     return broken
 
 
-def _spoken(word: Word | None) -> str:
+def _spoken(word: MemberRecord | None) -> str:
     return "unknown" if word is None else State(word.state).name.lower()
 
 
--- a/src/nettledeal_simulations/membership_baselines.py
+++ b/src/nettledeal_simulations/membership_baselines.py
@@ -7,11 +7,11 @@
 from statistics import median
 from typing import Any
 
+from nettledeal.membership.actions import SECOND, Timing
 from nettledeal.membership.member import Member
-from nettledeal.membership.packets import TELL, Packet
+from nettledeal.membership.packets import GOSSIP, Packet
 from nettledeal.membership.pending import Suspicion
-from nettledeal.membership.steps import SECOND, Timing
-from nettledeal.membership.view import State, Word
+from nettledeal.membership.view import MemberRecord, State
 from nettledeal.net.address import Address
 from nettledeal.units import Time
 from nettledeal_simulations.membership import START, Rehearsal, Weather
@@ -21,23 +21,23 @@
     """Believes itself always: no own illness, no lateness of its own, a suspicion of one length."""
 
     @property
-    def heard_at(self) -> Time:
+    def last_heard_at(self) -> Time:
         return self.now + 1
 
-    @heard_at.setter
-    def heard_at(self, when: Time) -> None:
+    @last_heard_at.setter
+    def last_heard_at(self, when: Time) -> None:
         pass
 
-    def _attend(self, now: Time) -> None:
+    def _advance_clock(self, now: Time) -> None:
         self.now = max(self.now, now)
-        self.health.ill = 0
+        self.health.score = 0
 
-    def _held_against(self, name: str) -> Word | None:
+    def _record_unless_alive(self, name: str) -> MemberRecord | None:
         return None
 
-    def _suspect(self, word: Word) -> None:
-        self.suspicions[word.name] = Suspicion(self.now, self.timing.suspicion, {word.by}, 0)
-        self._at(self.suspicions[word.name].end, "suspicion", word.name)
+    def _start_suspicion(self, record: MemberRecord) -> None:
+        self.suspicions[record.name] = Suspicion(self.now, self.timing.suspicion, {record.accuser}, 0)
+        self._schedule(self.suspicions[record.name].ends_at, "suspicion_timeout", record.name)
 
 
 class Heartbeats(Plain):
@@ -48,24 +48,24 @@
         super().__init__(*arguments, **named)
         self.last: dict[str, Time] = {}
 
-    def _period(self) -> None:
-        self._at(self.now + self.timing.period, "period")
+    def _probe_round(self) -> None:
+        self._schedule(self.now + self.timing.period, "probe_round")
         for name in list(self.ring):
-            word = self.view.words[name]
+            word = self.view.records[name]
             if self.now - self.last.setdefault(name, self.now) > self.timing.suspicion:
-                self._tell_of(word, State.DEAD)
+                self._declare(word, State.DEAD)
                 self.last.pop(name)
             else:
-                self._send(TELL, word.address)
+                self._send(GOSSIP, word.address)
 
-    def _take(self, packet: Packet, source: Address) -> bool:
+    def _apply_packet(self, packet: Packet, source: Address) -> bool:
         sender = packet.sender
-        known = self.view.words.get(sender.name)
-        taken = super()._take(packet, source)
+        known = self.view.records.get(sender.name)
+        taken = super()._apply_packet(packet, source)
         if taken:
             self.last[sender.name] = self.now
-            if known is not None and not known.live and known.life == sender.life:
-                self._send(TELL, source, about=known)  # it lives: it will say so
+            if known is not None and not known.live and known.started_at == sender.started_at:
+                self._send(GOSSIP, source, first_record=known)  # it lives: it will say so
         return taken
 
 
@@ -109,7 +109,7 @@
         rehearsal.run(rehearsal.now + round((pause or 1.0) * SECOND))
     until = rehearsal.now
     rehearsal.run(until + 15 * SECOND)
-    told = [(at, change.word) for at, _, change in rehearsal.changes if at >= since]
+    told = [(at, change.record) for at, _, change in rehearsal.changes if at >= since]
     wronged = {
         (word.name, word.incarnation)
         for at, word in told
@@ -117,7 +117,7 @@
         and at < until
         and not any(a <= at <= b + 2 * SECOND and word.name in who for a, b, who in away)
     }
-    killed = {(word.name, word.life, word.incarnation) for _, word in told if word.state == State.DEAD}
+    killed = {(word.name, word.started_at, word.incarnation) for _, word in told if word.state == State.DEAD}
     times = []
     for n in range(count - deaths, count):
         at = rehearsal.now
@@ -127,8 +127,8 @@
             (when - at) / SECOND
             for when, who, change in rehearsal.changes
             if when >= at
-            and change.word.name == f"m{n}"
-            and change.word.state == State.DEAD
+            and change.record.name == f"m{n}"
+            and change.record.state == State.DEAD
             and rehearsal.nodes[who].member is not None
         ]
     times.sort()
--- a/tests/system/test_control_relay.py
+++ b/tests/system/test_control_relay.py
@@ -124,4 +124,4 @@
 
 def test_the_processes_of_one_machine_are_members_of_different_names():
     relay = ControlRelay(settings())
-    assert relay.membership.member.me.name == "edge-1/edge-control" != settings().node_name
+    assert relay.membership.member.own_record.name == "edge-1/edge-control" != settings().node_name
--- a/tests/system/test_deployment_sizes.py
+++ b/tests/system/test_deployment_sizes.py
@@ -89,11 +89,11 @@
     group = Group(AGENTS, 3)
     assert max(group.complete_after(CORES + AGENTS, JOIN_LIMIT_S)) < JOIN_LIMIT_S
     lost = list(group.members)[CORES :: drawn_deployment.REGIONS]
-    group.cut = frozenset(lost)
+    group.cut_off = frozenset(lost)
     group.run(LOST_S)
-    rest = [member for address, member in group.members.items() if address not in group.cut]
+    rest = [member for address, member in group.members.items() if address not in group.cut_off]
     assert all(len(member.live()) == len(group.members) - len(lost) for member in rest)
-    group.cut = frozenset()
+    group.cut_off = frozenset()
     assert max(group.complete_after(len(group.members), RETURN_LIMIT_S)) < RETURN_LIMIT_S
 
 
--- a/tests/system/test_registry_answers.py
+++ b/tests/system/test_registry_answers.py
@@ -10,8 +10,8 @@
 from nettledeal.common.settings import Listen, Settings
 from nettledeal.control.state import CONFIGURATION_KEY
 from nettledeal.distribution.control_source import control_entries
-from nettledeal.membership.doubt import zones_in_doubt
 from nettledeal.membership.node import MemberInfo
+from nettledeal.membership.zone_suspicion import suspected_zones
 from nettledeal.registry.answers import FAR_TTL_S, MAX_ADDRESSES, SHORT_TTL_S, Answers, Place, choose, nearest
 from nettledeal.registry.leaving import LeavingMembers
 from nettledeal.registry.server import RegistryServer
@@ -34,7 +34,7 @@
 
 def doubted(members):
     sound = [member.zone for member in members if not member.suspected]
-    return zones_in_doubt(sound, [member.zone for member in members if member.suspected])
+    return suspected_zones(sound, [member.zone for member in members if member.suspected])
 
 
 def numbers(members, region="r1", zone="z1"):
@@ -108,8 +108,8 @@
 
 
 def test_members_that_were_found_dead_speak_against_their_zone_as_suspected_ones_do():
-    assert zones_in_doubt(["z1", "z1", "z2"], ["z1", "z1"]) == {"z1"}
-    assert zones_in_doubt(["z1", "z1", "z1"], ["z1", "z1"]) == frozenset()
+    assert suspected_zones(["z1", "z1", "z2"], ["z1", "z1"]) == {"z1"}
+    assert suspected_zones(["z1", "z1", "z1"], ["z1", "z1"]) == frozenset()
 
 
 def told(members, client):
@@ -143,7 +143,7 @@
     def members(self):
         return self.listed
 
-    def zones_in_doubt(self):
+    def suspected_zones(self):
         return self.doubted
 
 
--- a/tests/system/test_releases.py
+++ b/tests/system/test_releases.py
@@ -17,8 +17,8 @@
 from nettledeal.discovery.catalogue import Backend, decode_backend, encode_backend
 from nettledeal.distribution import protocol
 from nettledeal.membership.cbor_codec import CborCodec
-from nettledeal.membership.packets import MOST_DATAGRAM, PING, VERSION, Packet
-from nettledeal.membership.view import Metadata, Order, Word
+from nettledeal.membership.packets import MAX_DATAGRAM_BYTES, PING, VERSION, Packet
+from nettledeal.membership.view import MemberRecord, Metadata, OperatorOrder
 from nettledeal.operator_api.configuration_checks import parse_configuration
 from nettledeal.standins.clients import Ending
 from nettledeal.standins.scenario import CARD, EXTRA, QUESTION, make_configuration
@@ -88,8 +88,8 @@
     messages.Heartbeat(3, 9, 4, 20, "a", 1): ("870a03090414616101"),
     messages.HeartbeatAck(3, 9, 3, 4, True, -1): ("870b03090304f520"),
 }
-WORD = Word("edge-1", "10.0.1.1", 7723, 5, 1, 0, "", 0, Metadata("edge", "z1", 8161, True, False))
-PACKET = Packet(VERSION, "nd", PING, 7, WORD, WORD, [WORD], [Order("x", 1, "y", True)])
+WORD = MemberRecord("edge-1", "10.0.1.1", 7723, 5, 1, 0, "", 0, Metadata("edge", "z1", 8161, True, False))
+PACKET = Packet(VERSION, "nd", PING, 7, WORD, WORD, [WORD], [OperatorOrder("x", 1, "y", True)])
 
 
 @pytest.mark.parametrize("message", RECORDED, ids=lambda message: type(message).__name__)
@@ -141,15 +141,15 @@
 
 def test_packets_of_a_later_release_are_read():
     raw = cbor2.dumps(extended(PACKET))
-    assert CborCodec().decode(raw, "nd", MOST_DATAGRAM) == PACKET
+    assert CborCodec().decode(raw, "nd", MAX_DATAGRAM_BYTES) == PACKET
 
 
 def test_packets_of_a_release_that_told_less_are_read():
     plain = msgspec.to_builtins(PACKET)
     plain[4] = plain[4][:6]  # no accuser, place or metadata
     del plain[5:]
-    packet = CborCodec().decode(cbor2.dumps(plain), "nd", MOST_DATAGRAM)
-    assert packet == Packet(VERSION, "nd", PING, 7, Word(*plain[4]))
+    packet = CborCodec().decode(cbor2.dumps(plain), "nd", MAX_DATAGRAM_BYTES)
+    assert packet == Packet(VERSION, "nd", PING, 7, MemberRecord(*plain[4]))
 
 
 def test_a_witness_s_disk_of_a_later_release_is_read():
--- a/tests/test_member_processes.py
+++ b/tests/test_member_processes.py
@@ -12,8 +12,8 @@
 import pytest
 
 from nettledeal.fleet.member_processes import MemberProcesses
-from nettledeal.membership.packets import PING, TELL, VERSION, Packet, encoded
-from nettledeal.membership.view import State, Word
+from nettledeal.membership.packets import GOSSIP, PING, VERSION, Packet, encode_msgpack
+from nettledeal.membership.view import MemberRecord, State
 
 QUICK = {"period": 2_000, "probe": 800, "suspicion": 12_000, "spread": 400, "swap": 15_000, "keep": 9_000_000}
 SLOW = QUICK | {"suspicion": 80_000}
@@ -199,15 +199,15 @@
         members.start(range(3))
         assert members.agreed(range(3))
         place, life = members.place(1), members.processes[1].ask("members")["members"]
-        peer = Word("m9", members.place(9)[0], 7946, life[0]["life"], 0, State.ALIVE)
-        good = encoded(Packet(VERSION, "fleet", TELL, 0, peer))
+        peer = MemberRecord("m9", members.place(9)[0], 7946, life[0]["life"], 0, State.ALIVE)
+        good = encode_msgpack(Packet(VERSION, "fleet", GOSSIP, 0, peer))
         bad = [
             b"",
             b"\x00" * 40,
             good[: len(good) // 2],
             good + b"x" * 2000,
-            encoded(Packet(VERSION, "others", PING, 1, peer)),
-            encoded([VERSION + 1, "fleet"]),
+            encode_msgpack(Packet(VERSION, "others", PING, 1, peer)),
+            encode_msgpack([VERSION + 1, "fleet"]),
         ]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for raw in bad * 3:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,5 @@
-"""Membership in virtual time: merging of news, seeded schedules of faults, and each check on a planted
-fault."""
+"""Membership in simulated time: merging of updates, seeded fault schedules, and checks that detect builds
+with a planted fault."""
 
 from contextlib import suppress
 from random import Random
@@ -8,15 +8,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from nettledeal.membership.census import STOOD, Census
-from nettledeal.membership.dealing import SLACK, deal
+from nettledeal.membership.actions import SECOND, SendDatagram, Timing
 from nettledeal.membership.member import Member
-from nettledeal.membership.packets import MOST_DATAGRAM, PING, VERSION, Packet, Refusal, decoded, encoded
-from nettledeal.membership.pending import DOUBT, Suspicion
-from nettledeal.membership.rumours import Rumours
-from nettledeal.membership.steps import SECOND, Send, Timing
-from nettledeal.membership.suspicion import ACCUSERS
-from nettledeal.membership.view import MOST_INCARNATION, Order, State, View, Word
+from nettledeal.membership.packets import (
+    MAX_DATAGRAM_BYTES,
+    PING,
+    VERSION,
+    Packet,
+    PacketError,
+    decode_msgpack,
+    encode_msgpack,
+)
+from nettledeal.membership.pending import MAX_SUSPICION_FACTOR, Suspicion
+from nettledeal.membership.piggyback import PiggybackQueue
+from nettledeal.membership.stable_view import STABLE_FOR_TENTHS, StableView
+from nettledeal.membership.subsetting import MAX_IMBALANCE, assign_subsets
+from nettledeal.membership.suspicion import MAX_CONFIRMATIONS
+from nettledeal.membership.view import MAX_INCARNATION, MemberRecord, OperatorOrder, State, View
 from nettledeal_simulations.membership import (
     BRISK,
     START,
@@ -29,8 +37,8 @@
 )
 
 NOW = START
-words = st.builds(
-    Word,
+record_strategy = st.builds(
+    MemberRecord,
     st.sampled_from("abc"),
     st.sampled_from(("10.0.0.1", "10.0.0.2")),
     st.just(1),
@@ -39,264 +47,291 @@
     st.integers(0, 3),
     st.sampled_from(("", "x", "y")),
 )
-orders = st.builds(Order, st.sampled_from("bc"), st.integers(1, 3), st.sampled_from("xy"), st.booleans())
+order_strategy = st.builds(
+    OperatorOrder, st.sampled_from("bc"), st.integers(1, 3), st.sampled_from("xy"), st.booleans()
+)
 
 
-def word(name="a", life=NOW, incarnation=0, state=State.ALIVE, by="", host="10.0.0.9"):
-    return Word(name, host, 7946, life, incarnation, state, by)
+def make_record(name="a", started_at=NOW, incarnation=0, state=State.ALIVE, accuser="", host="10.0.0.9"):
+    return MemberRecord(name, host, 7946, started_at, incarnation, state, accuser)
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.lists(words, max_size=12), st.lists(orders, max_size=6), st.randoms(use_true_random=False))
-def test_news_in_any_order_and_number_gives_equal_views(news, told, chance):
-    def merged(news, told):
+@given(
+    st.lists(record_strategy, max_size=12),
+    st.lists(order_strategy, max_size=6),
+    st.randoms(use_true_random=False),
+)
+def test_updates_in_any_order_and_number_give_equal_views(updates, orders, rng):
+    def merged(updates, orders):
         view = View()
-        for one in news:
-            view.merge(one, NOW)
-        for one in told:
-            view.ordered(one)
-        return {name: held.rank for name, held in view.words.items()}, view.orders
+        for update in updates:
+            view.merge(update, NOW)
+        for order in orders:
+            view.merge_order(order)
+        return {name: kept.rank for name, kept in view.records.items()}, view.orders
 
-    again = [*news, *chance.sample(news, len(news) // 2)]
-    chance.shuffle(again)
-    assert merged(news, told) == merged(again, chance.sample(told, len(told)) * 2)
+    repeated = [*updates, *rng.sample(updates, len(updates) // 2)]
+    rng.shuffle(repeated)
+    assert merged(updates, orders) == merged(repeated, rng.sample(orders, len(orders)) * 2)
 
 
 @pytest.mark.parametrize(
-    ("held", "said", "wins"),
+    ("known", "update", "wins"),
     [
-        (word(), word(state=State.SUSPECT), True),
-        (word(state=State.SUSPECT), word(), False),
-        (word(state=State.SUSPECT), word(incarnation=1), True),
-        (word(state=State.DEAD), word(state=State.SUSPECT), False),
-        (word(state=State.DEAD), word(incarnation=1), True),
-        (word(incarnation=7, state=State.DEAD), word(life=NOW + 1), True),
-        (word(life=NOW + 1), word(life=NOW, incarnation=9, state=State.LEFT), False),
-        (word(state=State.DEAD), word(state=State.LEFT), True),
+        (make_record(), make_record(state=State.SUSPECT), True),
+        (make_record(state=State.SUSPECT), make_record(), False),
+        (make_record(state=State.SUSPECT), make_record(incarnation=1), True),
+        (make_record(state=State.DEAD), make_record(state=State.SUSPECT), False),
+        (make_record(state=State.DEAD), make_record(incarnation=1), True),
+        (make_record(incarnation=7, state=State.DEAD), make_record(started_at=NOW + 1), True),
+        (
+            make_record(started_at=NOW + 1),
+            make_record(started_at=NOW, incarnation=9, state=State.LEFT),
+            False,
+        ),
+        (make_record(state=State.DEAD), make_record(state=State.LEFT), True),
     ],
 )
-def test_what_overrules_what(held, said, wins):
+def test_which_update_overrides_which(known, update, wins):
     view = View()
-    view.merge(held, NOW)
-    assert (view.merge(said, NOW) is not None) is wins
-    assert view.words["a"] == (said if wins else held)
+    view.merge(known, NOW)
+    assert (view.merge(update, NOW) is not None) is wins
+    assert view.records["a"] == (update if wins else known)
 
 
-def test_a_rumour_is_told_a_number_of_times_that_grows_with_the_logarithm():
+def test_the_number_of_transmissions_grows_with_the_logarithm_of_the_group_size():
     counts = {}
     for members in (10, 100, 1000, 10_000):
-        rumours = Rumours()
-        rumours.add("word", "a", "news", 10)
+        queue = PiggybackQueue()
+        queue.add("record", "a", "update", 10)
         counts[members] = 0
-        while rumours.take(100, members):
+        while queue.take(100, members):
             counts[members] += 1
     assert counts[100] - counts[10] == counts[1000] - counts[100] == counts[10_000] - counts[1000] > 0
 
 
-def test_the_least_told_goes_first_and_none_over_the_room():
-    rumours = Rumours()
+def test_the_least_transmitted_update_goes_first_and_the_size_limit_holds():
+    queue = PiggybackQueue()
     for n in range(30):
-        rumours.add("word", f"m{n}", n, 10)
-    first = [news for _, news in rumours.take(100, 50)]
+        queue.add("record", f"m{n}", n, 10)
+    first = [update for _, update in queue.take(100, 50)]
     assert len(first) == 10
-    assert not set(first) & {news for _, news in rumours.take(100, 50)}
+    assert not set(first) & {update for _, update in queue.take(100, 50)}
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=80))
-def test_any_bytes_are_a_message_or_refused(raw):
-    with suppress(Refusal):
-        assert isinstance(decoded(raw, "fleet", MOST_DATAGRAM), Packet)
+def test_any_bytes_are_decoded_or_rejected(raw):
+    with suppress(PacketError):
+        assert isinstance(decode_msgpack(raw, "fleet", MAX_DATAGRAM_BYTES), Packet)
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
         ({"version": VERSION + 1}, "another version"),
         ({"cluster": "other"}, "another cluster"),
         ({"kind": "greeting"}, "garbled"),
-        ({"number": -1}, "garbled"),
+        ({"sequence_number": -1}, "garbled"),
         ({"cluster": "f" * 2000}, "oversized"),
     ],
 )
-def test_what_is_of_another_kind_is_refused_by_its_reason(change, why):
-    told = {"version": VERSION, "cluster": "fleet", "kind": PING, "number": 1, "sender": word()} | change
-    with pytest.raises(Refusal, match=why):
-        decoded(encoded(Packet(**told)), "fleet", MOST_DATAGRAM)
-
-
-def test_a_later_version_of_another_form_is_told_from_noise():
+def test_an_invalid_packet_is_rejected_with_its_reason(change, reason):
+    fields = {
+        "version": VERSION,
+        "cluster": "fleet",
+        "kind": PING,
+        "sequence_number": 1,
+        "sender": make_record(),
+    } | change
+    with pytest.raises(PacketError, match=reason):
+        decode_msgpack(encode_msgpack(Packet(**fields)), "fleet", MAX_DATAGRAM_BYTES)
+
+
+def test_a_packet_of_a_later_version_is_distinguished_from_noise():
     noise = (b"\xc1", b"\x81\x80\x00", b"\x91" * 1190 + b"\x00", b"\x92\x01" * 590)
-    later = encoded([VERSION + 1, {"all": "new"}])
-    for raw, why in ((later, "another version"), *((raw, "garbled") for raw in noise)):
-        with pytest.raises(Refusal, match=why):
-            decoded(raw, "fleet", MOST_DATAGRAM)
+    later = encode_msgpack([VERSION + 1, {"all": "new"}])
+    for raw, reason in ((later, "another version"), *((raw, "garbled") for raw in noise)):
+        with pytest.raises(PacketError, match=reason):
+            decode_msgpack(raw, "fleet", MAX_DATAGRAM_BYTES)
 
 
-def alone(name="m0", seeds=(), **fields):
-    member = Member(name, ("10.0.0.0", 7946), "fleet", seeds, BRISK, Random(1), NOW, **fields)
+def single_member(name="m0", seeds=(), **options):
+    member = Member(name, ("10.0.0.0", 7946), "fleet", seeds, BRISK, Random(1), NOW, **options)
     member.start(NOW)
     return member
 
 
-def said_by(sender, kind=PING, target=None, words=()):
-    return Packet(VERSION, "fleet", kind, 1, sender, target, list(words))
+def packet_from(sender, kind=PING, target=None, records=()):
+    return Packet(VERSION, "fleet", kind, 1, sender, target, list(records))
 
 
-def test_forged_news_of_oneself_is_overruled_and_replayed_news_changes_nothing():
-    member = alone()
-    peer = word("m1", life=NOW - 5)
+def test_forged_updates_about_a_member_are_overridden_and_replayed_updates_change_nothing():
+    member = single_member()
+    peer = make_record("m1", started_at=NOW - 5)
     for forged in (
-        Word("m0", "10.0.0.0", 7946, member.me.life, 3, State.DEAD, "evil"),
-        Word("m0", "10.0.0.0", 7946, member.me.life, MOST_INCARNATION - 1, State.SUSPECT, "evil"),
+        MemberRecord("m0", "10.0.0.0", 7946, member.own_record.started_at, 3, State.DEAD, "evil"),
+        MemberRecord(
+            "m0", "10.0.0.0", 7946, member.own_record.started_at, MAX_INCARNATION - 1, State.SUSPECT, "evil"
+        ),
+    ):
+        member.on_datagram(NOW + 10, packet_from(peer, "tell", records=[forged]), peer.address)
+        assert member.own_record.rank > forged.rank and member.own_record.state == State.ALIVE
+    own_record = member.own_record
+    for old in (
+        make_record("m0", started_at=NOW - 9, state=State.DEAD),
+        make_record("m1", started_at=NOW - 9, state=State.LEFT),
     ):
-        member.heard(NOW + 10, said_by(peer, "tell", words=[forged]), peer.address)
-        assert member.me.rank > forged.rank and member.me.state == State.ALIVE
-    now = member.me
-    for old in (word("m0", life=NOW - 9, state=State.DEAD), word("m1", life=NOW - 9, state=State.LEFT)):
-        member.heard(NOW + 20, said_by(peer, "tell", words=[old]), peer.address)
-    assert member.me == now and member.view.words["m1"].live
+        member.on_datagram(NOW + 20, packet_from(peer, "tell", records=[old]), peer.address)
+    assert member.own_record == own_record and member.view.records["m1"].live
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
-        word(""),
-        word("m" * 99),
-        word("x", life=NOW + 999 * 3600 * SECOND),
-        word("x", incarnation=1 << 40),
-        word("x", state=7),
-        word("x", host=""),
+        make_record(""),
+        make_record("m" * 99),
+        make_record("x", started_at=NOW + 999 * 3600 * SECOND),
+        make_record("x", incarnation=1 << 40),
+        make_record("x", state=7),
+        make_record("x", host=""),
     ],
 )
-def test_news_of_no_sense_is_counted_and_changes_nothing(bad):
-    member, peer = alone(), word("m1", life=NOW - 5)
-    member.heard(NOW + 10, said_by(peer, "tell", words=[bad]), peer.address)
-    member.heard(NOW + 10, said_by(bad), peer.address)
-    assert list(member.view.words) == ["m1"]
-    assert member.health.refused == {"news of no sense": 1, "sender of no sense": 1}
-
-
-def test_a_claim_to_ones_name_is_asked_for_before_it_is_believed():
-    member, peer = alone(), word("m1", life=NOW - 5)
-    claim = word("m0", life=NOW + 50)
-    step = member.heard(NOW + 10, said_by(peer, "tell", words=[claim]), peer.address)
-    sent = [act for act in step.acts if isinstance(act, Send)]
-    assert (PING, claim.address) in {(act.packet.kind, act.address) for act in sent}
+def test_an_invalid_record_is_counted_and_changes_nothing(invalid):
+    member, peer = single_member(), make_record("m1", started_at=NOW - 5)
+    member.on_datagram(NOW + 10, packet_from(peer, "tell", records=[invalid]), peer.address)
+    member.on_datagram(NOW + 10, packet_from(invalid), peer.address)
+    assert list(member.view.records) == ["m1"]
+    assert member.health.rejected == {"news of no sense": 1, "sender of no sense": 1}
+
+
+def test_a_claim_to_a_members_name_is_checked_before_it_is_believed():
+    member, peer = single_member(), make_record("m1", started_at=NOW - 5)
+    claim = make_record("m0", started_at=NOW + 50)
+    step = member.on_datagram(NOW + 10, packet_from(peer, "tell", records=[claim]), peer.address)
+    sent = [action for action in step.actions if isinstance(action, SendDatagram)]
+    assert (PING, claim.address) in {(action.packet.kind, action.address) for action in sent}
     assert not member.silent
     now = NOW + 10
-    while member.me.life <= claim.life and now < NOW + BRISK.suspicion:
+    while member.own_record.started_at <= claim.started_at and now < NOW + BRISK.suspicion:
         now += 100
-        member.wake(now)
-    # Nobody answered there: the name is its own again, with a life that overrules the claim.
-    assert member.me.rank > claim.rank and not member.silent
+        member.on_timer(now)
+    # Nobody answered at the claimed address, so the member keeps its name, with a later start time.
+    assert member.own_record.rank > claim.rank and not member.silent
 
 
-def test_a_suspicion_shrinks_with_each_accuser_down_to_the_least():
-    ends = [Suspicion(0, 100.0, {str(n) for n in range(count)}, ACCUSERS).end for count in range(1, 6)]
-    assert ends[0] == DOUBT * 100 and ends[ACCUSERS] == ends[4] == 100
+def test_a_suspicion_shrinks_with_each_accuser_down_to_the_minimum():
+    ends = [
+        Suspicion(0, 100.0, {str(n) for n in range(count)}, MAX_CONFIRMATIONS).ends_at
+        for count in range(1, 6)
+    ]
+    assert ends[0] == MAX_SUSPICION_FACTOR * 100 and ends[MAX_CONFIRMATIONS] == ends[4] == 100
     assert ends[:4] == sorted(ends[:4], reverse=True) and len(set(ends[:4])) == 4
 
 
-def test_who_was_late_itself_accuses_nobody_and_doubts_itself():
+def test_a_member_that_ran_late_accuses_nobody_and_lowers_its_health():
     rehearsal = Rehearsal(5, "late", together=SECOND)
     rehearsal.run(START + 5 * SECOND)
     member = rehearsal.nodes[0].member
-    before = member.health.accused
-    # All that was on its way is lost as well: what it hears of first is its own lateness.
+    before = member.health.suspicions_started
+    # Packets received during the pause are dropped, so the first thing it notices is its own lateness.
     rehearsal.pause(0)
     rehearsal.run(START + 7 * SECOND)
     rehearsal.nodes[0].held.clear()
     rehearsal.go_on(0)
-    assert member.health.late == 1 and member.health.ill > 1
+    assert member.health.late_wakeups == 1 and member.health.score > 1
     rehearsal.run(START + 8 * SECOND)
-    assert member.health.accused == before
+    assert member.health.suspicions_started == before
 
 
-# Schedules.
+# Fault schedules.
 
-SCHEDULES, PART = 1000, 20
+SCHEDULES, SCHEDULES_PER_TEST = 1000, 20
 
 
-class Meek(Member):
-    """Does not refute."""
+class NeverRefutes(Member):
+    """Does not refute suspicions."""
 
-    def _of_me(self, said):
+    def _handle_update_about_self(self, record):
         pass
 
 
-class Sure(Member):
-    """Tells death without suspicion."""
+class NoSuspicionDelay(Member):
+    """Declares death without a suspicion period."""
 
-    def _suspect(self, said):
-        super()._suspect(said)
-        self.suspicions[said.name].least = 0.0
-        self._at(self.now, "suspicion", said.name)
+    def _start_suspicion(self, record):
+        super()._start_suspicion(record)
+        self.suspicions[record.name].min_duration = 0.0
+        self._schedule(self.now, "suspicion_timeout", record.name)
 
 
-class Patient(Member):
-    """Never tells death."""
+class NeverDeclaresDead(Member):
+    """Suspicions never time out."""
 
-    def _suspicion(self, name):
+    def _suspicion_timeout(self, name):
         pass
 
 
-class Stubborn(Member):
-    """Calls none of the dead, so halves that were apart do not meet again."""
+class NeverContactsDead(Member):
+    """Never contacts dead members, so the sides of a partition don't find each other again."""
 
-    def _dead(self):
+    def _try_dead_member(self):
         pass
 
 
-class Raising(Member):
-    """Takes any news for newer, so old news raises the dead."""
+class AcceptsOldRecords(Member):
+    """Takes any alive record for a newer one, so an old one revives a dead member."""
 
-    def _learn(self, said, told=True):
-        known = self.view.words.get(said.name)
-        if known is not None and not known.live and said.state == State.ALIVE:
-            said = Word(known.name, known.host, known.port, known.life, known.incarnation + 1, State.ALIVE)
-        super()._learn(said, told)
+    def _apply_record(self, record, gossip=True):
+        known = self.view.records.get(record.name)
+        if known is not None and not known.live and record.state == State.ALIVE:
+            record = MemberRecord(
+                known.name, known.host, known.port, known.started_at, known.incarnation + 1, State.ALIVE
+            )
+        super()._apply_record(record, gossip)
 
 
-@pytest.mark.parametrize("first", range(0, SCHEDULES, PART))
-def test_a_thousand_schedules_keep_the_promises(first):
-    # `nettledeal fleet rehearse` plays as many as one likes. In parts, which run beside each other.
-    broken = {seed: rehearse(seed) for seed in range(first, first + PART)}
+@pytest.mark.parametrize("first", range(0, SCHEDULES, SCHEDULES_PER_TEST))
+def test_a_thousand_fault_schedules_keep_the_promises(first):
+    # Split into parts that can run in parallel. `nettledeal fleet rehearse` runs any number of schedules.
+    broken = {seed: rehearse(seed) for seed in range(first, first + SCHEDULES_PER_TEST)}
     assert {seed: found for seed, found in broken.items() if found} == {}
 
 
-def first_two(seed):
-    """Breaks a promise on two seeds."""
+def breaks_on_two_seeds(seed):
+    """Reports a broken promise for the seeds 0 and 1."""
     return [f"broken {seed}"] if seed < 2 else rehearse(seed)
 
 
 @pytest.mark.alone
-def test_schedules_on_all_cores_tell_those_that_broke_a_promise():
-    assert sorted(many(first_two, range(30))) == [(0, ["broken 0"]), (1, ["broken 1"])]
+def test_schedules_on_all_cores_report_those_that_broke_a_promise():
+    assert sorted(many(breaks_on_two_seeds, range(30))) == [(0, ["broken 0"]), (1, ["broken 1"])]
 
 
-@pytest.mark.parametrize("build", [Meek, Patient])
-def test_the_promises_do_not_hold_for_a_build_that_breaks_one(build):
+@pytest.mark.parametrize("build", [NeverRefutes, NeverDeclaresDead])
+def test_the_schedules_detect_a_build_that_breaks_a_promise(build):
     assert any(rehearse(seed, build=build) for seed in range(12))
 
 
-def apart(build):
-    """Two halves that take each other for dead, whole again for long."""
+def broken_after_partition(build):
+    """Promises broken long after the end of a partition whose halves held each other dead."""
     rehearsal = Rehearsal(6, "apart", build=build, together=SECOND, seeds=1)
     rehearsal.play([Fault("split", 4 * SECOND, 16 * SECOND, (3, 4, 5))])
     rehearsal.run(START + 14 * SECOND)
-    assert all(not node.member.view.words["m0"].live for node in rehearsal.nodes[3:])
+    assert all(not node.member.view.records["m0"].live for node in rehearsal.nodes[3:])
     rehearsal.run(START + 40 * SECOND)
     return promises(rehearsal)
 
 
-def test_halves_that_were_apart_meet_again_since_some_of_the_dead_are_called():
-    assert apart(Member) == []
-    assert apart(Stubborn) != []
+def test_the_halves_of_a_partition_merge_since_dead_members_are_contacted():
+    assert broken_after_partition(Member) == []
+    assert broken_after_partition(NeverContactsDead) != []
 
 
 def crash(count, seed, build=Member, **weather):
-    """One dies amid the weather; when each other one held it for dead, and others that were."""
+    """Crash one member under the given network conditions. Returns when each other member declared it dead,
+    and the deaths declared of other members."""
     rehearsal = Rehearsal(count, seed, build=build, together=SECOND)
     rehearsal.run(START + 6 * SECOND)
     rehearsal.weather = Weather(**weather)
@@ -304,9 +339,9 @@
     rehearsal.crash(count - 1)
     rehearsal.run(at + 30 * SECOND)
     dead = [
-        (when - at, who, change.word.name)
+        (when - at, who, change.record.name)
         for when, who, change in rehearsal.changes
-        if when >= at and change.word.state == State.DEAD
+        if when >= at and change.record.state == State.DEAD
     ]
     return {who: when for when, who, name in dead if name == f"m{count - 1}"}, [
         entry for entry in dead if entry[2] != f"m{count - 1}"
@@ -315,117 +350,120 @@
 
 @pytest.mark.parametrize("count", [3, 10, 40])
 @pytest.mark.parametrize("loss", [0.0, 0.2])
-def test_a_crash_is_known_to_all_within_bounded_rounds_and_nobody_else_is_told_dead(count, loss):
+def test_a_crash_is_known_to_all_within_bounded_rounds_and_no_other_member_is_declared_dead(count, loss):
     known, others = crash(count, f"crash {count} {loss}", loss=loss)
     assert sorted(known) == list(range(count - 1)) and others == []
-    # Probed within some rounds, suspected at most as long as by one accuser alone, told in a second.
-    assert max(known.values()) <= 8 * BRISK.period + 2 * DOUBT * BRISK.suspicion + SECOND
+    # Some probe rounds, the longest suspicion (a single accuser), and a second of gossip.
+    assert max(known.values()) <= 8 * BRISK.period + 2 * MAX_SUSPICION_FACTOR * BRISK.suspicion + SECOND
 
 
-def test_without_suspicion_the_same_weather_kills_the_living():
-    assert any(crash(10, f"sure {n}", build=Sure, loss=0.4, jitter=2_000)[1] for n in range(4))
+def test_without_suspicion_packet_loss_has_live_members_declared_dead():
+    assert any(crash(10, f"sure {n}", build=NoSuspicionDelay, loss=0.4, jitter=2_000)[1] for n in range(4))
 
 
-def test_hundreds_of_members_hear_of_a_crash():
+def test_hundreds_of_members_learn_of_a_crash():
     timing = Timing(period=10_000, probe=3_000, suspicion=30_000, spread=2_000, swap=10_000_000)
     rehearsal = Rehearsal(500, "large", timing)
     first = rehearsal.nodes[0].member
-    # Joined before: many at once have a test of their own.
-    everyone = [Word(f"m{n}", *rehearsal.address(n), START, 0, State.ALIVE) for n in range(500)]
+    # All members know each other from the start; joining at once has a test of its own.
+    everyone = [MemberRecord(f"m{n}", *rehearsal.address(n), START, 0, State.ALIVE) for n in range(500)]
     rehearsal.run(START)
     for node in rehearsal.nodes:
-        for one in everyone:
-            if one.name != node.member.name:
-                node.member._learn(one, False)
+        for other in everyone:
+            if other.name != node.member.name:
+                node.member._apply_record(other, False)
     rehearsal.crash(7)
     rehearsal.run(START + 14 * SECOND)
-    dead = {who for _, who, change in rehearsal.changes if change.word.state == State.DEAD}
-    names = {change.word.name for _, _, change in rehearsal.changes if change.word.state == State.DEAD}
+    dead = {who for _, who, change in rehearsal.changes if change.record.state == State.DEAD}
+    names = {change.record.name for _, _, change in rehearsal.changes if change.record.state == State.DEAD}
     assert first is None and names == {"m7"} and len(dead) == 499
 
 
-@pytest.mark.parametrize("build", [Member, Raising])
-def test_old_news_raises_none_of_the_dead(build):
+@pytest.mark.parametrize("build", [Member, AcceptsOldRecords])
+def test_an_old_record_revives_no_dead_member(build):
     rehearsal = Rehearsal(5, "old news", build=build, together=SECOND)
     rehearsal.run(START + 5 * SECOND)
-    old = rehearsal.nodes[4].member.me
+    old = rehearsal.nodes[4].member.own_record
     rehearsal.crash(4)
     rehearsal.run(START + 20 * SECOND)
     node = rehearsal.nodes[0]
     peer = rehearsal.nodes[1].member
-    node.member.heard(rehearsal.now, peer._packet("tell", 0, words=[old]), peer.address)
-    assert node.member.view.words["m4"].live is (build is Raising)
+    node.member.on_datagram(rehearsal.now, peer._make_packet("tell", 0, records=[old]), peer.address)
+    assert node.member.view.records["m4"].live is (build is AcceptsOldRecords)
 
 
-def test_cordons_of_both_halves_are_everywhere_once_they_meet_the_newest_one_holds():
+def test_after_a_partition_all_members_hold_the_newest_order_per_subject():
     rehearsal = Rehearsal(6, "cordons", together=SECOND)
     rehearsal.play([Fault("split", 4 * SECOND, 12 * SECOND, (3, 4, 5))])
     rehearsal.run(START + 6 * SECOND)
-    for n, subject, out in ((0, "b1", True), (4, "b2", True), (3, "b1", False)):
+    for n, subject, cordoned in ((0, "b1", True), (4, "b2", True), (3, "b1", False)):
         rehearsal.run(rehearsal.now + 100)
         node = rehearsal.nodes[n]
-        rehearsal._do(node, node.member.order(rehearsal.now, subject, out))
+        rehearsal._do(node, node.member.issue_order(rehearsal.now, subject, cordoned))
     rehearsal.run(START + 40 * SECOND)
-    held = [{o.subject: o.out for o in node.member.view.orders.values()} for node in rehearsal.nodes]
+    held = [{o.subject: o.cordoned for o in node.member.view.orders.values()} for node in rehearsal.nodes]
     assert held == [{"b1": False, "b2": True}] * 6
     assert {order.subject for _, n, order in rehearsal.orders if n == 5} == {"b1", "b2"}
 
 
-# What others go by.
+# Derived from the view: the fleet size and the subsets.
 
 
 @pytest.mark.parametrize(
-    ("steps", "counted"),
+    ("observations", "counted"),
     [
         ([("abcd", 0, 0)], 4),
         ([("abcd", 0, 0), ("ab", 0, 2)], 2),
-        ([("abcd", 0, 0), ("a", 0, 3)], 4),  # fewer than half of them: the old count holds
-        ([("abcd", 0, 0), ("a", 0, 0)], 4),  # the same where the dead are not remembered
-        ([("abcd", 0, 0), ("a", 2, 1)], 1),  # two have left, and are not missed
+        ([("abcd", 0, 0), ("a", 0, 3)], 4),  # fewer than half of them alive: the old count stays
+        ([("abcd", 0, 0), ("a", 0, 0)], 4),  # the same without any record of the dead
+        ([("abcd", 0, 0), ("a", 2, 1)], 1),  # two have left and are not missing
         ([("abcd", 0, 0), ("a", 0, 3), ("abc", 0, 1)], 3),
-        ([("ab", 0, 3)], 0),  # newly come to the smaller part of a cut fleet
+        ([("ab", 0, 3)], 0),  # joined on the smaller side of a partition
     ],
 )
-def test_a_view_is_believed_once_it_stands_and_half_of_the_last_one_lives(steps, counted):
-    census, now = Census(), NOW
-    for names, gone, dead in steps:
-        assert not census.look(tuple(names), gone, dead, now)
-        now += STOOD
-        census.look(tuple(names), gone, dead, now)
+def test_a_view_is_accepted_once_it_is_stable_and_half_of_the_last_one_is_alive(observations, counted):
+    stable_view, now = StableView(), NOW
+    for names, left, dead in observations:
+        assert not stable_view.observe(tuple(names), left, dead, now)
+        now += STABLE_FOR_TENTHS
+        stable_view.observe(tuple(names), left, dead, now)
         now += SECOND
-    assert census.full == counted
+    assert stable_view.size == counted
 
 
-def test_a_view_that_goes_on_changing_is_not_believed():
-    census = Census()
-    looks = [census.look(tuple("abcd"[: 2 + n % 2]), 0, 0, NOW + n * STOOD // 2) for n in range(20)]
-    assert not any(looks) and census.full == 0
+def test_a_view_that_keeps_changing_is_not_accepted():
+    stable_view = StableView()
+    accepted = [
+        stable_view.observe(tuple("abcd"[: 2 + n % 2]), 0, 0, NOW + n * STABLE_FOR_TENTHS // 2)
+        for n in range(20)
+    ]
+    assert not any(accepted) and stable_view.size == 0
 
 
 @pytest.mark.parametrize(
     ("agents", "backends", "width"), [(300, 40, 2), (40, 40, 1), (30, 60, 2), (5, 3, 2), (4, 9, 9)]
 )
-def test_backends_are_dealt_evenly_and_none_is_left_out(agents, backends, width):
+def test_subsets_are_even_and_leave_out_no_backend(agents, backends, width):
     names, ids = [f"a{n}" for n in range(agents)], [f"b{n}" for n in range(backends)]
-    dealt = deal(names, ids, width)
+    subsets = assign_subsets(names, ids, width)
     width = min(width, backends)
-    assert all(len(set(part)) == width for part in dealt.values())
-    held = {b: sum(b in part for part in dealt.values()) for b in ids}
+    assert all(len(set(subset)) == width for subset in subsets.values())
+    users = {b: sum(b in subset for subset in subsets.values()) for b in ids}
     even = agents * width / backends
-    assert max(held.values()) <= max(1, SLACK * even + 1)
-    assert min(held.values()) >= (1 if even >= 1 else 0)
-    assert deal(list(reversed(names)), list(reversed(ids)), width) == dealt
+    assert max(users.values()) <= max(1, MAX_IMBALANCE * even + 1)
+    assert min(users.values()) >= (1 if even >= 1 else 0)
+    assert assign_subsets(list(reversed(names)), list(reversed(ids)), width) == subsets
 
 
-@pytest.mark.parametrize("gone", ["a7", "b7"])
-def test_a_departure_moves_few_of_what_is_dealt(gone):
+@pytest.mark.parametrize("departed", ["a7", "b7"])
+def test_a_departure_moves_few_assignments(departed):
     names, ids = [f"a{n}" for n in range(200)], [f"b{n}" for n in range(40)]
-    before = deal(names, ids, 2)
-    after = deal([n for n in names if n != gone], [b for b in ids if b != gone], 2)
+    before = assign_subsets(names, ids, 2)
+    after = assign_subsets([n for n in names if n != departed], [b for b in ids if b != departed], 2)
     moved = sum(len(set(after[name]) - set(before[name])) for name in after)
-    # Those of the one that left, and repairs; all over again would be some 380 of 400.
+    # Those of the departed one, and repairs. Assigning everything anew would move some 380 of 400.
     assert moved <= 40
 
 
-def test_nothing_to_deal_is_dealt():
-    assert deal([], ["b"], 2) == {} and deal(["a"], [], 2) == {"a": []}
+def test_without_agents_or_backends_there_are_no_assignments():
+    assert assign_subsets([], ["b"], 2) == {} and assign_subsets(["a"], [], 2) == {"a": []}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,5 +1,4 @@
-"""Real agents that talk with each other: counted, told of cordons, asked at their doors; and what is
-refused."""
+"""Membership among real agent processes: counting agents, cordons, admin commands, and invalid settings."""
 
 import json
 import subprocess
@@ -12,62 +11,62 @@
 
 from nettledeal import configuration, peers
 from nettledeal.configuration_files import ConfigError
-from nettledeal.membership.dealing import deal
+from nettledeal.membership.subsetting import assign_subsets
 from nettledeal.net.address import written
 
 CATEGORY = {"name": "b", "effect": "safe", "expiry": 4_000_000_000, "due_time": 1_000_000_000}
 
 
-def test_parts_are_dealt_anew_only_once_somebody_has_come_or_gone(monkeypatch):
-    worked_out = []
+def test_subsets_are_computed_again_only_when_an_agent_or_backend_comes_or_goes(monkeypatch):
+    computed = []
 
-    def counted(agents, backends, width):
-        worked_out.append((agents, backends, width))
-        return deal(agents, backends, width)
+    def recording(agents, backends, width):
+        computed.append((agents, backends, width))
+        return assign_subsets(agents, backends, width)
 
-    monkeypatch.setattr(peers, "deal", counted)
-    peers.dealt_out.cache_clear()
+    monkeypatch.setattr(peers, "assign_subsets", recording)
+    peers.cached_subsets.cache_clear()
     agents, backends = ("a0", "a1", "a2"), tuple(f"b{n}" for n in range(9))
-    first = peers.dealt_out(agents, backends, 2)
-    # Both groups of a look, look after look.
+    first = peers.cached_subsets(agents, backends, 2)
+    # Each check of the view asks for two groups of backends.
     for _ in range(3):
-        assert peers.dealt_out(agents, backends, 2) == first == deal(agents, backends, 2)
-        peers.dealt_out(agents, ("c0", "c1"), 1)
-    assert len(worked_out) == 2
-    assert peers.dealt_out(agents[:2], backends, 2) == deal(agents[:2], backends, 2)
-    assert peers.dealt_out(agents, backends[1:], 2) == deal(agents, backends[1:], 2)
-    assert len(worked_out) == 4
+        assert peers.cached_subsets(agents, backends, 2) == first == assign_subsets(agents, backends, 2)
+        peers.cached_subsets(agents, ("c0", "c1"), 1)
+    assert len(computed) == 2
+    assert peers.cached_subsets(agents[:2], backends, 2) == assign_subsets(agents[:2], backends, 2)
+    assert peers.cached_subsets(agents, backends[1:], 2) == assign_subsets(agents, backends[1:], 2)
+    assert len(computed) == 4
 
 
-def places(count, host="127.77.0.{}"):
-    """Of one port that is free at all of these hosts: nobody else is there."""
+def addresses(count, host="127.77.0.{}"):
+    """Addresses with one port that is free on all of these hosts, since nothing else uses them."""
     return [(host.format(1 + n), 7946) for n in range(count)]
 
 
 class Agents:
-    def __init__(self, tmp_path, count, fars):
-        self.doors, self.listens, self.lines, self.processes, self.told_of = [], [], [], [], []
-        talk = [(place[0], free_place()[1]) for place in places(count)]
+    def __init__(self, tmp_path, count, backends):
+        self.admins, self.listens, self.lines, self.processes, self.configs = [], [], [], [], []
+        members = [(address[0], free_place()[1]) for address in addresses(count)]
         entries = [
-            {"instanceId": f"s{n}", "hostPort": written(far.address), "zone": "a", "startedAtMs": 0}
-            for n, far in enumerate(fars)
+            {"instanceId": f"s{n}", "hostPort": written(backend.address), "zone": "a", "startedAtMs": 0}
+            for n, backend in enumerate(backends)
         ]
         for n in range(count):
             folder = tmp_path / f"a{n}"
             folder.mkdir()
-            self.doors.append(free_place())
+            self.admins.append(free_place())
             self.listens.append(free_place())
-            told = {
+            config = {
                 "name": f"a{n}",
                 "listen": written(self.listens[n]),
                 "discovery": "127.0.0.1:1",
                 "seed": "5",
-                "admin_addr": written(self.doors[n]),
+                "admin_addr": written(self.admins[n]),
                 "log_level": "info",
                 "known": {"generation": 1, "reset": True, "instances": entries},
                 "membership": {
-                    "listen": written(talk[n]),
-                    "seeds": [written(talk[0])],
+                    "listen": written(members[n]),
+                    "seeds": [written(members[0])],
                     "period_ms": 200,
                     "probe_ms": 80,
                     "suspicion_ms": 1500,
@@ -81,12 +80,12 @@
                     "allowed": {"most_hand_offs": 2},
                 },
             }
-            self.told_of.append((folder, told))
-            self._begin(n)
+            self.configs.append((folder, config))
+            self._start(n)
 
-    def _begin(self, n, **changes):
-        folder, told = self.told_of[n]
-        process = start(folder, json.dumps(told | changes).encode(), TMPDIR=str(folder))
+    def _start(self, n, **changes):
+        folder, config = self.configs[n]
+        process = start(folder, json.dumps(config | changes).encode(), TMPDIR=str(folder))
         self.processes.append(process)
         self.lines.append([])
         pool = gevent.get_hub().threadpool
@@ -100,67 +99,67 @@
             process.kill()
             process.wait()
 
-    def order(self, n, line):
-        with socket.create_connection(self.doors[n]) as sock:
+    def admin_command(self, n, line):
+        with socket.create_connection(self.admins[n]) as sock:
             sock.sendall(line.encode() + b"\n")
             return b"".join(iter(lambda: sock.recv(65536), b"")).decode()
 
     def members(self, n):
-        said = self.order(n, "members")
-        assert said.startswith("+OK "), said
-        return json.loads(said[4:])
+        answer = self.admin_command(n, "members")
+        assert answer.startswith("+OK "), answer
+        return json.loads(answer[4:])
 
-    def told(self, n, text):
+    def logged(self, n, text):
         return [json.loads(line) for line in self.lines[n] if text in line]
 
 
-def test_agents_count_each_other_and_a_cordon_given_to_one_binds_all(tmp_path):
-    fars = [Far(replies(served(b"s%d" % n))) for n in range(2)]
-    with Agents(tmp_path, 3, fars) as agents:
-        assert until(lambda: all(agents.told(n, '"agents counted"') for n in range(3)), 40)
+def test_agents_count_each_other_and_a_cordon_given_to_one_applies_to_all(tmp_path):
+    backends = [Far(replies(served(b"s%d" % n))) for n in range(2)]
+    with Agents(tmp_path, 3, backends) as agents:
+        assert until(lambda: all(agents.logged(n, '"agents counted"') for n in range(3)), 40)
         assert until(lambda: all(agents.members(n)["counted"] == 3 for n in range(3)), 40)
-        assert agents.order(0, "cordon s0").startswith("+OK")
-        assert until(lambda: all(agents.told(n, '"order heard of"') for n in (1, 2)), 40)
-        before = len(fars[0].peers)
+        assert agents.admin_command(0, "cordon s0").startswith("+OK")
+        assert until(lambda: all(agents.logged(n, '"order heard of"') for n in (1, 2)), 40)
+        before = len(backends[0].peers)
         for n in (1, 2):
             for id in range(10):
-                heard = Peer(socket.create_connection(agents.listens[n])).send(asked(b"r%d" % id)).hear()
-                assert heard.startswith(b"HTTP/1.1 200") and heard.endswith(b"s1")
-        assert len(fars[0].peers) == before
-        # The same by the command line; and one that dies is told as such, with who accused it.
+                answer = Peer(socket.create_connection(agents.listens[n])).send(asked(b"r%d" % id)).hear()
+                assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"s1")
+        assert len(backends[0].peers) == before
+        # The command line shows the same; and a death is logged with the member that declared it.
         shown = subprocess.run(
-            [sys.executable, "-m", "nettledeal", "members", written(agents.doors[1]), "--json"],
+            [sys.executable, "-m", "nettledeal", "members", written(agents.admins[1]), "--json"],
             capture_output=True,
             text=True,
             env={"PYTHONPATH": SRC},
             check=True,
         )
-        assert [one["state"] for one in json.loads(shown.stdout)["members"]] == ["alive"] * 3
+        assert [member["state"] for member in json.loads(shown.stdout)["members"]] == ["alive"] * 3
         agents.processes[2].kill()
         assert until(lambda: agents.members(0)["counted"] == 2, 40)
-        (death,) = agents.told(0, '"dead"')
+        (death,) = agents.logged(0, '"dead"')
         assert death["member"] == "a2" and death["by"] in ("a0", "a1")
-        assert agents.order(0, "forget a1").startswith("-ERR")
-        assert agents.order(0, "forget a2").startswith("+OK")
+        assert agents.admin_command(0, "forget a1").startswith("-ERR")
+        assert agents.admin_command(0, "forget a2").startswith("+OK")
         assert until(lambda: agents.members(1)["members"][2]["state"] == "left", 40)
 
 
-def test_a_new_version_takes_the_address_over_and_the_others_see_one_agent_all_along(tmp_path):
+def test_a_new_version_takes_over_the_address_and_the_others_see_one_agent_throughout(tmp_path):
     with Agents(tmp_path, 3, []) as agents:
-        assert until(lambda: all(agents.told(n, '"agents counted"') for n in range(3)), 40)
-        agents.doors.append(free_place())
-        agents._begin(2, admin_addr=written(agents.doors[3]))
-        assert until(lambda: agents.told(3, '"started"'), 40)
-        assert until(lambda: agents.told(2, '"processes of this agent"'), 40)
+        assert until(lambda: all(agents.logged(n, '"agents counted"') for n in range(3)), 40)
+        agents.admins.append(free_place())
+        agents._start(2, admin_addr=written(agents.admins[3]))
+        assert until(lambda: agents.logged(3, '"started"'), 40)
+        assert until(lambda: agents.logged(2, '"processes of this agent"'), 40)
         agents.processes[2].terminate()
-        assert until(lambda: agents.told(3, '"agents counted"'), 40)
+        assert until(lambda: agents.logged(3, '"agents counted"'), 40)
         assert agents.processes[2].wait(20) == 0
         for n in (0, 1):
-            assert [one["state"] for one in agents.members(n)["members"]] == ["alive"] * 3
-            assert not agents.told(n, '"dead"') and not agents.told(n, '"left"')
+            assert [member["state"] for member in agents.members(n)["members"]] == ["alive"] * 3
+            assert not agents.logged(n, '"dead"') and not agents.logged(n, '"left"')
 
 
-def test_an_agent_that_does_not_talk_loads_none_of_it():
+def test_an_agent_without_membership_does_not_load_it():
     code = (
         "import sys, nettledeal.agent; "
         "print([name for name in sys.modules if name.endswith(('membership', 'peers'))])"
@@ -175,11 +174,11 @@
     assert loaded.stdout.strip() == "[]"
 
 
-TALK = {"listen": "127.0.0.1:7946", "seeds": ["127.0.0.1:7946"]}
+MEMBERSHIP = {"listen": "127.0.0.1:7946", "seeds": ["127.0.0.1:7946"]}
 
 
 @pytest.mark.parametrize(
-    ("change", "fault"),
+    ("change", "error"),
     [
         ({"seeds": []}, "membership.seeds: none is named"),
         ({"seeds": ["::1:7946"]}, "membership.seeds.0: ::1 is of another family"),
@@ -197,15 +196,20 @@
         ({"period_ms": "soon"}, "membership.period_ms"),
     ],
 )
-def test_a_fault_in_its_keys_is_named(change, fault):
-    told = {"name": "a1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "membership": TALK | change}
-    with pytest.raises(ConfigError) as found:
-        configuration.check(json.dumps(told).encode(), {})
-    assert str(found.value).startswith(fault), found.value
-    assert "\n" not in str(found.value)
-
-
-def test_agents_that_talk_need_a_name():
-    told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "membership": TALK}
+def test_an_error_names_the_invalid_key(change, error):
+    file = {
+        "name": "a1",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "membership": MEMBERSHIP | change,
+    }
+    with pytest.raises(ConfigError) as raised:
+        configuration.check(json.dumps(file).encode(), {})
+    assert str(raised.value).startswith(error), raised.value
+    assert "\n" not in str(raised.value)
+
+
+def test_an_agent_with_membership_needs_a_name():
+    file = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "membership": MEMBERSHIP}
     with pytest.raises(ConfigError, match="^name: "):
-        configuration.check(json.dumps(told).encode(), {"EDGE_NAME": "agent"})
+        configuration.check(json.dumps(file).encode(), {"EDGE_NAME": "agent"})
