--- a/tests/system/test_deployment_sizes.py
+++ b/tests/system/test_deployment_sizes.py
@@ -92,7 +92,7 @@
     group.cut_off = frozenset(lost)
     group.run(LOST_S)
     rest = [member for address, member in group.members.items() if address not in group.cut_off]
-    assert all(len(member.live()) == len(group.members) - len(lost) for member in rest)
+    assert all(len(member.live_members()) == len(group.members) - len(lost) for member in rest)
     group.cut_off = frozenset()
     assert max(group.complete_after(len(group.members), RETURN_LIMIT_S)) < RETURN_LIMIT_S
 
