--- a/src/nettledeal/membership/dissemination.py
+++ b/src/nettledeal/membership/dissemination.py
@@ -27,7 +27,7 @@
 MAX_CLOCK_SKEW_TENTHS = 3600 * SECOND
 
 
-class Disseminating(MemberBase):
+class DisseminationMixin(MemberBase):
     """Applies received updates, refutes wrong ones about this member, and gossips the others."""
 
     def _apply_packet(self, packet: Packet, source: Address) -> bool:
--- a/src/nettledeal/membership/joining.py
+++ b/src/nettledeal/membership/joining.py
@@ -18,7 +18,7 @@
 MAX_JOIN_BACKOFF_TENTHS = 8 * SECOND
 
 
-class Joining(MemberBase):
+class JoiningMixin(MemberBase):
     """Full view exchanges over streams."""
 
     def _join(self) -> None:
--- a/src/nettledeal/membership/member.py
+++ b/src/nettledeal/membership/member.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from nettledeal.membership.actions import SECOND, Step, StreamRequest
-from nettledeal.membership.dissemination import GOSSIP_FANOUT, Disseminating
-from nettledeal.membership.joining import Joining
+from nettledeal.membership.dissemination import GOSSIP_FANOUT, DisseminationMixin
+from nettledeal.membership.joining import JoiningMixin
 from nettledeal.membership.packets import (
     ACK,
     COMPARE,
@@ -33,14 +33,14 @@
     SYNC_RESPONSE,
     Packet,
 )
-from nettledeal.membership.probing import Probing
-from nettledeal.membership.suspicion import Suspecting
+from nettledeal.membership.probing import ProbingMixin
+from nettledeal.membership.suspicion import SuspicionMixin
 from nettledeal.membership.view import MemberRecord, Metadata, OperatorOrder, State
 from nettledeal.net.address import Address
 from nettledeal.units import Time
 
 
-class Member(Probing, Suspecting, Disseminating, Joining):
+class Member(ProbingMixin, SuspicionMixin, DisseminationMixin, JoiningMixin):
     """The complete protocol; each base class implements one part."""
 
     # Called by the host.
--- a/src/nettledeal/membership/member_base.py
+++ b/src/nettledeal/membership/member_base.py
@@ -19,7 +19,7 @@
 # them.
 MIN_SAME_ZONE, SAME_ZONE_SHARE = 2, 0.75
 # First delay before a member that has not joined contacts a seed again.
-JOIN_BACKOFF_TENTHS = SECOND // 2
+INITIAL_JOIN_BACKOFF_TENTHS = SECOND // 2
 
 
 class MemberBase:
@@ -64,7 +64,7 @@
         self.timer_count = 0
         self.gossip_scheduled = False
         self.joined = not self.seeds
-        self.join_backoff = JOIN_BACKOFF_TENTHS
+        self.join_backoff = INITIAL_JOIN_BACKOFF_TENTHS
         # The first exchange comes early: when many members join at once, some miss others and would go on
         # missing them until the next full exchange. With digests it comes after most updates of a common
         # start have spread, because views that differ are sent in full.
--- a/src/nettledeal/membership/probing.py
+++ b/src/nettledeal/membership/probing.py
@@ -21,7 +21,7 @@
 MIN_SUSPECTED_IN_ZONE, SUSPECTED_ZONE_PROBE_SHARE, MIN_SUSPECTED_ZONE_SIZE = 2, 0.5, 6
 
 
-class Probing(MemberBase):
+class ProbingMixin(MemberBase):
     """At most one own probe is in progress; each ends before the next one starts."""
 
     def _probe_round(self) -> None:
--- a/src/nettledeal/membership/suspicion.py
+++ b/src/nettledeal/membership/suspicion.py
@@ -17,7 +17,7 @@
 BASE_GROUP_SIZE = 300
 
 
-class Suspecting(MemberBase):
+class SuspicionMixin(MemberBase):
     """Suspicions, by the name of the accused."""
 
     def _start_suspicion(self, record: MemberRecord) -> None:
--- a/src/nettledeal/membership_settings.py
+++ b/src/nettledeal/membership_settings.py
@@ -84,7 +84,8 @@
             )
     if section.keep_s * 1000 < 10 * section.suspicion_ms:
         raise ConfigError(
-            f"membership.keep_s: {section.keep_s} is under ten times suspicion_ms; old updates live so long"
+            f"membership.keep_s: {section.keep_s} is under ten times suspicion_ms; "
+            "outdated updates circulate for that long"
         )
 
 
