--- a/src/nettledeal/membership/node.py
+++ b/src/nettledeal/membership/node.py
@@ -19,7 +19,7 @@
 from nettledeal.membership.host import Host
 from nettledeal.membership.member import Member
 from nettledeal.membership.view import MemberRecord, Metadata, State
-from nettledeal.membership.zone_suspicion import suspected_zones
+from nettledeal.membership.zone_suspicion import suspect_zones
 
 # Name of the cluster of one deployment; packets of another cluster are refused.
 CLUSTER = "nd"
@@ -188,13 +188,13 @@
         """The hosts of live processes that have a replica of the control state."""
         return [member.host for member in self.members() if member.role == Role.CORE]
 
-    def suspected_zones(self) -> frozenset[str]:
+    def suspect_zones(self) -> frozenset[str]:
         """Zones that may have failed as a whole, judged by members suspected or recently found dead."""
         members = self.members()
         since = self._clock.now() - round(DEATH_EVIDENCE_S * SECOND)
         lost = [member.zone for member in members if member.suspected]
         lost += [record.metadata.zone for record in self._dead_since(since)]
-        return suspected_zones((member.zone for member in members if not member.suspected), lost)
+        return suspect_zones((member.zone for member in members if not member.suspected), lost)
 
     def _dead_since(self, since: int) -> list[MemberRecord]:
         view = self.member.view
--- a/src/nettledeal/membership/zone_suspicion.py
+++ b/src/nettledeal/membership/zone_suspicion.py
@@ -11,7 +11,7 @@
 MIN_LOST_MEMBERS = 2
 
 
-def suspected_zones(healthy: Iterable[str], lost: Iterable[str]) -> frozenset[str]:
+def suspect_zones(healthy: Iterable[str], lost: Iterable[str]) -> frozenset[str]:
     """The zones that may have failed; `healthy` and `lost` give the zone of each such member."""
     lost_counts = Counter(lost)
     healthy_counts = Counter(healthy)
