--- a/src/nettledeal/dataplane/agent.py
+++ b/src/nettledeal/dataplane/agent.py
@@ -101,7 +101,7 @@
         table = updated_table(self._table, entries)
         self._table = table
         self.control_version = version
-        self.lease.use(roster_in(entries))
+        self.lease.update_roster(roster_in(entries))
         self.selector.update_services([_profile(service) for service in table.services.values()], now)
         self.selector.set_evacuated(table.evacuated, now)
         if self._applied_connection_config != self._connection_config():
@@ -134,9 +134,9 @@
         """
         was_ready = self.ready
         now = time.monotonic()
-        whole = changed_keys is None or not self._catalogue_applied
+        full_update = changed_keys is None or not self._catalogue_applied
         self._catalogue_applied = False
-        if whole:
+        if full_update:
             self.selector.update_backends(self.known_backends.update(entries, now), now)
             self._update_connections()
         else:
--- a/src/nettledeal/dataplane/forwarding.py
+++ b/src/nettledeal/dataplane/forwarding.py
@@ -34,7 +34,7 @@
 from nettledeal.dataplane.server_load import LOAD_HEADER, read_server_load
 from nettledeal.dataplane.silence_check import SilenceCheck
 from nettledeal.dataplane.stream_pauses import StreamPauses
-from nettledeal.net.protocol.framing import Malformed
+from nettledeal.net.protocol.framing import MalformedMessage
 from nettledeal.net.transport.buffers import OutOfMemory
 from nettledeal.net.transport.sockets import send_all
 
@@ -194,7 +194,7 @@
         except ClientDisconnected:
             outcome = AttemptOutcome.CANCELLED
             raise
-        except (OSError, Malformed, OutOfMemory) as error:
+        except (OSError, MalformedMessage, OutOfMemory) as error:
             if self.client_disconnected:
                 outcome = AttemptOutcome.CANCELLED
                 raise ClientDisconnected from None
@@ -235,7 +235,7 @@
     ) -> BackendResponse | None:
         """Send the request; None if no byte of it was accepted by the connection."""
         remaining_s = self.deadline - time.monotonic() - DEADLINE_MARGIN_S
-        parts = self.request.parts_for(
+        parts = self.request.encode_for_backend(
             backend_id, self.target.route.priority, remaining_s, self.relay.last_event_id
         )
         try:
--- a/src/nettledeal/membership/__main__.py
+++ b/src/nettledeal/membership/__main__.py
@@ -25,7 +25,7 @@
 from nettledeal.membership.actions import MemberChanged, NameConflict, OrderReceived, SendDatagram, Timing
 from nettledeal.membership.host import Host, state_name
 from nettledeal.membership.member import Member
-from nettledeal.net.address import parsed
+from nettledeal.net.address import parse_address
 from nettledeal.net.clock import SECOND, Clock
 
 
@@ -85,12 +85,12 @@
     options = msgspec.json.decode(lines.readline(), type=StartOptions)
     clock, counts = Clock(), Counter()
     clock.offset += int(options.ahead * 1e9)
-    listen = parsed(options.listen)
+    listen = parse_address(options.listen)
     member = Member(
         options.name,
-        parsed(options.advertise or options.listen),
+        parse_address(options.advertise or options.listen),
         options.cluster,
-        map(parsed, options.seeds),
+        map(parse_address, options.seeds),
         Timing(**options.timing),
         Random(options.seed),
         clock.now(),
--- a/src/nettledeal/membership/host.py
+++ b/src/nettledeal/membership/host.py
@@ -31,9 +31,9 @@
 from nettledeal.membership.member import Member
 from nettledeal.membership.packets import MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Packet, PacketError
 from nettledeal.membership.view import MemberRecord, Metadata, State
-from nettledeal.net.address import Address, written
-from nettledeal.net.transport.budget import STREAMS
-from nettledeal.net.transport.sockets import bound, smooth
+from nettledeal.net.address import Address, format_address
+from nettledeal.net.transport.budget import MAX_MEMBERSHIP_STREAMS
+from nettledeal.net.transport.sockets import disable_nagle, listening_socket
 from nettledeal.units import Time
 
 # A stream is aborted after this time.
@@ -57,7 +57,7 @@
         notify: Callable[[Action], None],
         count: Callable[[str], None],
         log: Any,
-        max_streams: int = STREAMS,
+        max_streams: int = MAX_MEMBERSHIP_STREAMS,
     ):
         """`notify` receives `MemberChanged`, `OrderReceived` and `NameConflict`. `count` receives the name of
         a counter to increase. `log` is a logger with levels that takes an event and its fields, like
@@ -110,7 +110,7 @@
         while not self._bind():
             gevent.sleep(BIND_RETRY_S)
         member = self.member
-        self.log.info("member", name=member.name, listen=written(self.listen), cluster=member.cluster)
+        self.log.info("member", name=member.name, listen=format_address(self.listen), cluster=member.cluster)
         self._carry_out(self.member.start(self.clock()))
         self.greenlets += [gevent.spawn(self._receive_datagrams), gevent.spawn(self._accept_streams)]
         while True:
@@ -129,13 +129,13 @@
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             sock.bind(self.listen)
-            self.stream_listener = bound(self.listen)
+            self.stream_listener = listening_socket(self.listen)
             self.datagram_socket = sock
             return True
         except OSError as error:
             sock.close()
             if error.errno != errno.EADDRINUSE:
-                self.log.error("member cannot listen", listen=written(self.listen), why=error.strerror)
+                self.log.error("member cannot listen", listen=format_address(self.listen), why=error.strerror)
                 gevent.sleep(1.0)
             return False
 
@@ -175,7 +175,9 @@
             self.count(f"member: {error}")
             if str(error) not in self.logged_refusals:
                 self.logged_refusals.add(str(error))
-                self.log.warning("message to the member refused", why=str(error), source=written(source))
+                self.log.warning(
+                    "message to the member refused", why=str(error), source=format_address(source)
+                )
             return None
 
     def _accept_streams(self) -> None:
@@ -247,7 +249,7 @@
                 if isinstance(action, MemberChanged):
                     self._log_change(action.record, action.previous_state)
                 elif isinstance(action, NameConflict):
-                    address = written(action.record.address)
+                    address = format_address(action.record.address)
                     self.log.error("another process bears this name; this one is silent", at=address)
                 self.notify(action)
         if step.wake_at != self.wake_at:
@@ -272,7 +274,7 @@
                 # From the host that other members know this one by.
                 sock.bind((self.listen[0], 0))
                 sock.connect(request.address)
-                smooth(sock)
+                disable_nagle(sock)
                 self._send_packet(sock, request.packet)
                 packet = self._receive_packet(sock, request.address)
         except ConnectionRefusedError:
@@ -291,7 +293,7 @@
         log(
             "member changed",
             member=record.name,
-            at=written(record.address),
+            at=format_address(record.address),
             state=state_name(record.state),
             before=None if previous_state is None else state_name(previous_state),
             by=record.accuser,
--- a/src/nettledeal/peers.py
+++ b/src/nettledeal/peers.py
@@ -22,7 +22,7 @@
 from nettledeal.membership.stable_view import StableView, count_left_and_dead
 from nettledeal.membership.subsetting import assign_subsets
 from nettledeal.membership_settings import MembershipSettings
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 from nettledeal.net.clock import SECOND, Clock
 from nettledeal.net.counters import Counters
 from nettledeal.net.routing.router import Router
@@ -108,7 +108,7 @@
             "members": [
                 {
                     "name": record.name,
-                    "at": written(record.address),
+                    "at": format_address(record.address),
                     "state": state_name(record.state),
                     "by": record.accuser,
                     "incarnation": record.incarnation,
@@ -127,7 +127,7 @@
         if not self.stable_view.names:
             return {}
         state = self.router.balancer.state
-        return {"balancers": state.fleet, "me": state.me, "dealt": ",".join(self.subset)}
+        return {"balancers": state.fleet_size, "me": state.index, "dealt": ",".join(self.subset)}
 
     def _count(self, name: str) -> None:
         self.counters[name] += 1
@@ -147,7 +147,7 @@
             try:
                 self._check_view()
             except Exception:
-                self.counters.fault("census")
+                self.counters.record_exception("census")
 
     def _check_view(self) -> None:
         """Pass a newly accepted view on to the balancer; any other view changes nothing."""
@@ -183,7 +183,7 @@
             backends = tuple(
                 str(b.id)
                 for b in state.backends.values()
-                if b.runs and (b.listing.zone == self.zone) is is_home
+                if b.in_service and (b.listing.zone == self.zone) is is_home
             )
             zone_agents = tuple(name for name in agents if zones[name] == self.zone)
             subset += cached_subsets(zone_agents, backends, width).get(self.member.name, ())
--- a/tests/system/test_control_reader_term.py
+++ b/tests/system/test_control_reader_term.py
@@ -5,13 +5,13 @@
 from types import SimpleNamespace
 
 from nettledeal.control.node import ControlNode, ReaderTerm
-from nettledeal.control.roles import Appointment
+from nettledeal.control.reader_role import ReaderAppointment
 
 
 def node_with(replica: SimpleNamespace) -> ControlNode:
     node = object.__new__(ControlNode)
     node._replica = replica
-    node._reader_told = (None, ReaderTerm(-1, 0))
+    node._notified_reader = (None, ReaderTerm(-1, 0))
     return node
 
 
@@ -21,13 +21,13 @@
         record=SimpleNamespace(epoch=record_epoch),
         reader_epoch=reader_epoch,
         info=SimpleNamespace(replica_id="own"),
-        current_appointment=Appointment("reader", number, life=1),
+        current_appointment=ReaderAppointment("reader", number, incarnation=1),
     )
 
 
-def test_a_decided_epoch_does_not_lend_its_number_to_the_appointment_of_the_one_before():
-    # Numbers begin anew with each epoch: (6, 1) here and (6, 0) from the next heartbeat on would be a
-    # term that goes back, and what the reader publishes under it would be ignored as old by everybody.
+def test_a_new_epoch_is_not_combined_with_the_appointment_of_the_previous_one():
+    # Numbers restart with each epoch: (6, 1) here and (6, 0) from the next heartbeat on would be a term that
+    # goes back, and everything that the reader publishes under it would be ignored as outdated.
     assert node_with(backup(6, 5, 1)).reader_term == ReaderTerm(5, 1)
 
 
@@ -36,18 +36,18 @@
     assert (term.epoch, term.number) > (5, 1)
 
 
-def test_the_primary_goes_by_its_own_record():
+def test_the_primary_uses_its_own_record():
     replica = backup(7, 5, 2)
     replica.primary = object()
     assert node_with(replica).reader_term == ReaderTerm(7, 2)
 
 
-def test_each_change_of_the_reader_is_told_once():
+def test_each_change_of_the_reader_is_notified_once():
     node = node_with(backup(6, 6, 0))
-    told = []
-    node.on_reader_changed = lambda: told.append(node.reader_term)
-    node._tell_reader()
-    node._tell_reader()
-    node._replica.current_appointment = Appointment("reader", 1, life=1)
-    node._tell_reader()
-    assert told == [ReaderTerm(6, 0), ReaderTerm(6, 1)]
+    notified = []
+    node.on_reader_changed = lambda: notified.append(node.reader_term)
+    node._notify_reader_change()
+    node._notify_reader_change()
+    node._replica.current_appointment = ReaderAppointment("reader", 1, incarnation=1)
+    node._notify_reader_change()
+    assert notified == [ReaderTerm(6, 0), ReaderTerm(6, 1)]
--- a/tests/system/test_processor_quotas.py
+++ b/tests/system/test_processor_quotas.py
@@ -67,5 +67,5 @@
     for machine in world.machines.values():
         world.quotas[machine.host] = quota
     world.run(6.0 + DURATION_S)
-    assert world.broken == []
+    assert world.violations == []
     assert world.primary().replica.record == before
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 from nettledeal import configuration, peers
 from nettledeal.configuration_files import ConfigError
 from nettledeal.membership.subsetting import assign_subsets
-from nettledeal.net.address import written
+from nettledeal.net.address import format_address
 
 CATEGORY = {"name": "b", "effect": "safe", "expiry": 4_000_000_000, "due_time": 1_000_000_000}
 
@@ -48,7 +48,12 @@
         self.admins, self.listens, self.lines, self.processes, self.configs = [], [], [], [], []
         members = [(address[0], free_place()[1]) for address in addresses(count)]
         entries = [
-            {"instanceId": f"s{n}", "hostPort": written(backend.address), "zone": "a", "startedAtMs": 0}
+            {
+                "instanceId": f"s{n}",
+                "hostPort": format_address(backend.address),
+                "zone": "a",
+                "startedAtMs": 0,
+            }
             for n, backend in enumerate(backends)
         ]
         for n in range(count):
@@ -58,15 +63,15 @@
             self.listens.append(free_place())
             config = {
                 "name": f"a{n}",
-                "listen": written(self.listens[n]),
+                "listen": format_address(self.listens[n]),
                 "discovery": "127.0.0.1:1",
                 "seed": "5",
-                "admin_addr": written(self.admins[n]),
+                "admin_addr": format_address(self.admins[n]),
                 "log_level": "info",
                 "known": {"generation": 1, "reset": True, "instances": entries},
                 "membership": {
-                    "listen": written(members[n]),
-                    "seeds": [written(members[0])],
+                    "listen": format_address(members[n]),
+                    "seeds": [format_address(members[0])],
                     "period_ms": 200,
                     "probe_ms": 80,
                     "suspicion_ms": 1500,
@@ -128,7 +133,7 @@
         assert len(backends[0].peers) == before
         # The command line shows the same; and a death is logged with the member that declared it.
         shown = subprocess.run(
-            [sys.executable, "-m", "nettledeal", "members", written(agents.admins[1]), "--json"],
+            [sys.executable, "-m", "nettledeal", "members", format_address(agents.admins[1]), "--json"],
             capture_output=True,
             text=True,
             env={"PYTHONPATH": SRC},
@@ -148,7 +153,7 @@
     with Agents(tmp_path, 3, []) as agents:
         assert until(lambda: all(agents.logged(n, '"agents counted"') for n in range(3)), 40)
         agents.admins.append(free_place())
-        agents._start(2, admin_addr=written(agents.admins[3]))
+        agents._start(2, admin_addr=format_address(agents.admins[3]))
         assert until(lambda: agents.logged(3, '"started"'), 40)
         assert until(lambda: agents.logged(2, '"processes of this agent"'), 40)
         agents.processes[2].terminate()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -6,14 +6,14 @@
 import pytest
 from helpers import Drive, answers, hand_offs, settings, until
 from test_program import TOLD, changed
-from test_router import Desk
+from test_router import RouterRig
 
 from nettledeal.configuration import check
 from nettledeal.configuration_change import check_replacement
 from nettledeal.configuration_files import ConfigError
 from nettledeal.model import Outcome, Verdict
 from nettledeal.net.protocol.backend import Reply
-from nettledeal.net.routing.intake import BEHIND
+from nettledeal.net.routing.request_admission import RETIRED_CATEGORY_TENTHS
 
 FORCE = json.loads(json.dumps(TOLD))
 FORCE["settings"]["allowed"]["most_hand_offs"] = 3
@@ -114,7 +114,7 @@
 
 def drive():
     found = Drive()
-    found.balancer.retune(found.now, BOTH)
+    found.balancer.apply_settings(found.now, BOTH)
     return found
 
 
@@ -137,9 +137,9 @@
 )
 def test_effects_that_change(before, after, again):
     at = drive()
-    at.balancer.retune(at.now, named(("x", before)))
+    at.balancer.apply_settings(at.now, named(("x", before)))
     old = hand_offs(at.take(0))[0]
-    at.balancer.retune(at.now, named(("new", "rerunnable"), ("x", after)))
+    at.balancer.apply_settings(at.now, named(("new", "rerunnable"), ("x", after)))
     assert bool(hand_offs(at.back(old, Outcome.RESET))) is again
     fresh = hand_offs(at.take(index(at, "x")))[0]
     assert bool(hand_offs(at.back(fresh, Outcome.RESET))) is not again
@@ -148,7 +148,7 @@
 def test_attempts_that_change():
     at = drive()
     old = hand_offs(at.take(0))[0]
-    at.balancer.retune(at.now, {**BOTH, "allowed.most_hand_offs": 1})
+    at.balancer.apply_settings(at.now, {**BOTH, "allowed.most_hand_offs": 1})
     assert hand_offs(at.back(old, Outcome.RESET))
     fresh = hand_offs(at.take(0))[0]
     assert not hand_offs(at.back(fresh, Outcome.RESET))
@@ -159,51 +159,55 @@
     for _ in range(30):
         at.back(hand_offs(at.take(1))[0], after=333)
     was = at.balancer.state.categories[1]
-    assert was.seen == 30
-    at.balancer.retune(at.now, named(("other", "exclusive"), ("write", "exclusive"), ("read", "rerunnable")))
-    at.balancer.retune(at.now, named(("write", "exclusive"), ("other", "exclusive")))
+    assert was.samples == 30
+    at.balancer.apply_settings(
+        at.now, named(("other", "exclusive"), ("write", "exclusive"), ("read", "rerunnable"))
+    )
+    at.balancer.apply_settings(at.now, named(("write", "exclusive"), ("other", "exclusive")))
     now = at.balancer.state.categories[0]
-    assert (now.base, now.seen) == (was.base, 30) and now is not was
+    assert (now.base_time, now.samples) == (was.base_time, 30) and now is not was
     assert names(at) == ["write", "other", "read"]
     # Added again it is itself, and it is there once.
-    at.balancer.retune(at.now, BOTH)
+    at.balancer.apply_settings(at.now, BOTH)
     assert names(at) == ["read", "write", "other"]
 
 
 def test_a_category_dropped_with_work_open_is_answered_by_its_own_rules():
     at = drive()
     out = hand_offs(at.take(1))[0]
-    at.balancer.retune(at.now, named(("read", "rerunnable")))
-    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.WRITTEN_OFF]
+    at.balancer.apply_settings(at.now, named(("read", "rerunnable")))
+    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
     # Those that still name it go by them, too.
     out = hand_offs(at.take(index(at, "write")))[0]
-    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.WRITTEN_OFF]
+    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
 
 
 def test_dropped_names_do_not_pile_up():
     at = drive()
     for n in range(100):
-        at.balancer.retune(at.now, named((f"c{n}", "rerunnable")))
+        at.balancer.apply_settings(at.now, named((f"c{n}", "rerunnable")))
     assert len(at.balancer.state.categories) <= 17
 
 
 def test_the_owner_takes_new_names_at_once_and_old_ones_for_a_while():
-    desk = Desk()
-    desk.router.retune(BOTH, {}, {"read": 100, "write": 200}, 100)
-    desk.router.retune(named(("add", "rerunnable"), ("read", "exclusive")), {}, {"add": 300, "read": 100}, 50)
-    assert desk.router.intake.most == 50
-    pending, _ = desk.take("add")
-    desk.out().done(Reply(Outcome.FINISHED, report={}))
-    assert desk.answered(pending) is HTTPStatus.OK
-    pending, id = desk.take("write")
+    rig = RouterRig()
+    rig.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    rig.router.update_settings(
+        named(("add", "rerunnable"), ("read", "exclusive")), {}, {"add": 300, "read": 100}, 50
+    )
+    assert rig.router.admission.max_open == 50
+    pending, _ = rig.submit("add")
+    rig.nth_exchange().on_reply(Reply(Outcome.FINISHED, report={}))
+    assert rig.status_of(pending) is HTTPStatus.OK
+    pending, id = rig.submit("write")
     assert id and pending.status is None
-    assert 0 < desk.router.intake.retired["write"] - desk.clock.now() <= BEHIND
-    desk.router.intake.retired["write"] = desk.clock.now() - 1
-    pending, id = desk.take("write")
+    assert 0 < rig.router.admission.retired_until["write"] - rig.clock.now() <= RETIRED_CATEGORY_TENTHS
+    rig.router.admission.retired_until["write"] = rig.clock.now() - 1
+    pending, id = rig.submit("write")
     assert (pending.status, id) == (HTTPStatus.BAD_REQUEST, None)
-    assert desk.take("read")[1]
+    assert rig.submit("read")[1]
     # Its first word counts, however often the settings change meanwhile.
-    desk.router.retune(named(("add", "rerunnable")), {}, {"add": 300}, 50)
-    assert desk.take("write")[0].status is HTTPStatus.BAD_REQUEST
-    desk.router.retune(BOTH, {}, {"read": 100, "write": 200}, 100)
-    assert desk.take("write")[1] and until(lambda: not desk.router.waiting)
+    rig.router.update_settings(named(("add", "rerunnable")), {}, {"add": 300}, 50)
+    assert rig.submit("write")[0].status is HTTPStatus.BAD_REQUEST
+    rig.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    assert rig.submit("write")[1] and until(lambda: not rig.router.queued)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -208,8 +208,8 @@
 BUILDS = {
     "one answer": (
         "net/routing/router.py",
-        "= at + self.intake.wait(request)\n",
-        "= at + self.intake.wait(request) + 30_000\n",
+        "= received_at + self.admission.timeout(request)\n",
+        "= received_at + self.admission.timeout(request) + 30_000\n",
         LIGHT + '[[fault]]\nkind = "hang"\nat = 0.5\nshare = 0.5\n',
     ),
     "no effect twice": (
@@ -220,13 +220,13 @@
     ),
     "drains kept": (
         "net/protocol/catalogue.py",
-        '"draining": Life.DRAINING',
-        '"draining": Life.RUNNING',
+        '"draining": Lifecycle.DRAINING',
+        '"draining": Lifecycle.RUNNING',
         LIGHT + '[[fault]]\nkind = "replace"\nat = 0.8\ncount = 2\n',
     ),
     "no cold backend pushed over": (
         "policy/shared_state.py",
-        "return b.started > 0 and",
+        "return b.started_at > 0 and",
         "return False and",
         CROWD.replace("processes = 2", COLD),
     ),
