--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,20 +66,20 @@
         self.ids += 1
         return self.balancer.submit(self.now, self.ids, category, self.now + expiry, **fields).actions
 
-    def back(self, ho, outcome=Outcome.FINISHED, after=800, closed=None, report=None):
+    def back(self, attempt, outcome=Outcome.FINISHED, after=800, closed=None, report=None):
         self.now += after
         closed = outcome is Outcome.FINISHED if closed is None else closed
         return self.balancer.on_attempt_end(
-            self.now, ho.work_item, ho.number, outcome, after, closed=closed, report=report or {}
+            self.now, attempt.work_item, attempt.number, outcome, after, closed=closed, report=report or {}
         ).actions
 
 
-def hand_offs(acts):
-    return [act for act in acts if isinstance(act, SendAttempt)]
+def attempts(actions):
+    return [action for action in actions if isinstance(action, SendAttempt)]
 
 
-def answers(acts):
-    return [act for act in acts if isinstance(act, Answer)]
+def answers(actions):
+    return [action for action in actions if isinstance(action, Answer)]
 
 
 class ListenerRig:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,7 +1,7 @@
 from collections import Counter
 
 import pytest
-from helpers import SECOND, Drive, answers, fleet, hand_offs, settings
+from helpers import SECOND, Drive, answers, attempts, fleet, settings
 
 from nettledeal.model import CancelAttempt, Lifecycle, Listing, Outcome, Probe
 from nettledeal.policy.balancer import Balancer
@@ -12,10 +12,10 @@
     """Where one work item after another goes, each answered before the next."""
     seen = Counter()
     for _ in range(count):
-        acts = drive.take()
-        for ho in hand_offs(acts):
-            seen[ho.backend] += 1
-            drive.back(ho, after=after(ho) if callable(after) else after)
+        actions = drive.take()
+        for attempt in attempts(actions):
+            seen[attempt.backend] += 1
+            drive.back(attempt, after=after(attempt) if callable(after) else after)
     return seen
 
 
@@ -31,25 +31,25 @@
     for n, queue in enumerate((home, home, away, away)):
         for _ in range(12):
             drive.balancer.on_probe(drive.now, f"b{n}", Outcome.FINISHED, 3, {"outstanding": queue})
-    (ho,) = hand_offs(drive.take(0, 20_000))
-    assert ho.backend in goes
+    (attempt,) = attempts(drive.take(0, 20_000))
+    assert attempt.backend in goes
 
 
 def test_declined_offload_goes_home_once():
     drive = Drive(fleet((0, 1)))
     for _ in range(12):
         drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 9})
-    (ho,) = hand_offs(drive.take())
-    assert ho.backend == "b1"
-    (ho,) = hand_offs(drive.back(ho, Outcome.FULL, after=20))
-    assert ho.backend == "b0"
+    (attempt,) = attempts(drive.take())
+    assert attempt.backend == "b1"
+    (attempt,) = attempts(drive.back(attempt, Outcome.FULL, after=20))
+    assert attempt.backend == "b0"
 
 
 def test_full_pins_the_memory_until_the_next_report():
     drive = Drive(fleet((0, 0)))
-    (ho,) = hand_offs(drive.take())
-    drive.back(ho, Outcome.FULL, after=20)
-    backend = drive.balancer.state.backends[ho.backend]
+    (attempt,) = attempts(drive.take())
+    drive.back(attempt, Outcome.FULL, after=20)
+    backend = drive.balancer.state.backends[attempt.backend]
     loads = drive.balancer.loads
     assert loads.queue(backend, drive.now) >= FIRST_THRESHOLD
     loads.record_report(backend, {"outstanding": 0.0}, drive.now)
@@ -59,14 +59,14 @@
 @pytest.mark.parametrize("report", [{}, {"utilization": 0.8, "throughput": 9.0}])
 def test_where_no_report_tells_of_queues_an_answer_ends_the_pin(report):
     drive = Drive(fleet((0, 0)))
-    (ho,) = hand_offs(drive.take())
-    (second,) = hand_offs(drive.back(ho, Outcome.FULL, after=20))
-    backend, loads = drive.balancer.state.backends[ho.backend], drive.balancer.loads
+    (attempt,) = attempts(drive.take())
+    (second,) = attempts(drive.back(attempt, Outcome.FULL, after=20))
+    backend, loads = drive.balancer.state.backends[attempt.backend], drive.balancer.loads
     assert backend.pinned_queue is not None
     drive.back(second, report=report)
     for _ in range(200):
-        (ho,) = hand_offs(drive.take())
-        drive.back(ho, report=report)
+        (attempt,) = attempts(drive.take())
+        drive.back(attempt, report=report)
     # It counted each of them as waiting there for good.
     assert backend.pinned_queue is None and loads.queue(backend, drive.now) == 0.0
 
@@ -84,7 +84,7 @@
 
 def test_draw_counts_own_sends():
     drive = Drive(fleet((0, 0, 0)))
-    sent = [hand_offs(drive.take())[0].backend for _ in range(3)]
+    sent = [attempts(drive.take())[0].backend for _ in range(3)]
     assert sorted(sent) == ["b0", "b1", "b2"]
 
 
@@ -98,7 +98,7 @@
 
 def test_slow_backend_draws_less():
     drive = Drive(fleet((0, 0, 0)))
-    seen = spread(drive, 300, after=lambda ho: 3000 if ho.backend == "b0" else 500)
+    seen = spread(drive, 300, after=lambda attempt: 3000 if attempt.backend == "b0" else 500)
     assert seen["b0"] < 0.5 * min(seen["b1"], seen["b2"])
 
 
@@ -108,11 +108,11 @@
     seen = Counter()
     for n in range(400):
         broken = n < 200
-        for ho in hand_offs(drive.take()):
-            seen[ho.backend, broken] += 1
-            bad = broken and ho.backend == "b0"
-            acts = drive.back(ho, Outcome.UNREACHABLE if bad else Outcome.FINISHED, after=500)
-            for second in hand_offs(acts):
+        for attempt in attempts(drive.take()):
+            seen[attempt.backend, broken] += 1
+            bad = broken and attempt.backend == "b0"
+            actions = drive.back(attempt, Outcome.UNREACHABLE if bad else Outcome.FINISHED, after=500)
+            for second in attempts(actions):
                 drive.back(second, after=500)
     assert seen["b0", True] < 0.6 * seen["b1", True]
     assert seen["b0", False] > 20
@@ -137,9 +137,9 @@
 
 def test_crowd_is_deferred_at_once_with_a_time_to_come_back():
     drive = Drive(balancers=8)
-    acts = [act for _ in range(40) for act in drive.take()]
-    deferred = answers(acts)
-    assert 2 <= len(hand_offs(acts)) < 20
+    actions = [action for _ in range(40) for action in drive.take()]
+    deferred = answers(actions)
+    assert 2 <= len(attempts(actions)) < 20
     assert deferred
     assert all(0 < answer.retry_after <= 2 * SECOND for answer in deferred)
 
@@ -149,7 +149,7 @@
     kept = Counter()
     for _ in range(30):
         for category in (0, 3):
-            kept[category] += len(hand_offs(drive.take(category)))
+            kept[category] += len(attempts(drive.take(category)))
     assert kept[3] > kept[0]
 
 
@@ -157,10 +157,10 @@
     drive = Drive(fleet((0, 0, 0)), allowed__may_duplicate=True)
     spread(drive, 30, after=300)
     drive.balancer.hedge_credit = 3.0
-    acts = drive.take(0, 20_000)
-    (first,) = hand_offs(acts)
+    actions = drive.take(0, 20_000)
+    (first,) = attempts(actions)
     drive.now += 6000
-    (copy,) = hand_offs(drive.balancer.wake(drive.now).actions)
+    (copy,) = attempts(drive.balancer.wake(drive.now).actions)
     assert copy.backend != first.backend
     assert drive.back(copy, after=300) == [CancelAttempt(first.work_item, 0)]
 
@@ -172,23 +172,23 @@
         tariffs__probe=0.002,
         feedback__fields="outstanding,backlog",
     )
-    acts = drive.take()
-    assert len(acts) == 3
-    assert all(isinstance(act, Probe) for act in acts)
+    actions = drive.take()
+    assert len(actions) == 3
+    assert all(isinstance(action, Probe) for action in actions)
     for queue, name in enumerate(("b0", "b1", "b2")):
         report = {"outstanding": 2.0 * queue}
-        acts = drive.balancer.on_probe(drive.now + 5, name, Outcome.FINISHED, 5, report).actions
-    assert [ho.backend for ho in hand_offs(acts)] == ["b0"]
+        actions = drive.balancer.on_probe(drive.now + 5, name, Outcome.FINISHED, 5, report).actions
+    assert [attempt.backend for attempt in attempts(actions)] == ["b0"]
 
 
 def test_a_moment_of_slow_probes_does_not_end_probing_for_good():
     drive = Drive(allowed__probes=True, tariffs__probe=0.002, feedback__fields="outstanding")
 
     def probes():
-        acts = drive.take(expiry=8000)
-        for ho in hand_offs(acts):
-            drive.back(ho)
-        return [act.backend for act in acts if isinstance(act, Probe)]
+        actions = drive.take(expiry=8000)
+        for attempt in attempts(actions):
+            drive.back(attempt)
+        return [action.backend for action in actions if isinstance(action, Probe)]
 
     for name in probes():
         drive.balancer.on_probe(drive.now, name, Outcome.FINISHED, 900, {"outstanding": 0})
@@ -201,7 +201,7 @@
 def test_lost_probes_do_not_keep_a_work_item():
     drive = Drive(allowed__probes=True, tariffs__probe=0.002, feedback__fields="outstanding")
     drive.take()
-    assert hand_offs(drive.balancer.wake(drive.now + 100).actions)
+    assert attempts(drive.balancer.wake(drive.now + 100).actions)
 
 
 def test_asks_for_the_list_until_it_is_heard():
@@ -248,7 +248,7 @@
 def test_stale_list_is_trusted_for_two_hand_offs():
     drive = Drive([])
     drive.balancer.update_backends(drive.now, fleet((0,)), whole=True, cached=True)
-    assert sum(len(hand_offs(drive.take())) for _ in range(6)) == 2
+    assert sum(len(attempts(drive.take())) for _ in range(6)) == 2
 
 
 def test_same_calls_same_steps():
@@ -262,7 +262,7 @@
 def test_repeat_past_its_first_due_time_is_not_sent(expiry, again, sent):
     drive = Drive()
     drive.take(0, 12_000)
-    assert len(hand_offs(drive.take(0, expiry, is_retry=again))) == sent
+    assert len(attempts(drive.take(0, expiry, is_retry=again))) == sent
 
 
 @pytest.mark.parametrize(
@@ -272,16 +272,16 @@
     drive = Drive(allowed__may_duplicate=copies)
     spread(drive, 30, after=300)
     drive.balancer.admission.slowdown = slowdown
-    (ho,) = hand_offs(drive.take())
-    assert (ho.timeout < 10_000) == early
+    (attempt,) = attempts(drive.take())
+    assert (attempt.timeout < 10_000) == early
 
 
 def test_replaced_fleets_leave_nothing_behind():
     drive = Drive(fleet((0, 0)))
-    (ho,) = hand_offs(drive.take())
+    (attempt,) = attempts(drive.take())
     drive.balancer.update_backends(drive.now, [Listing("b9")], whole=True, cached=False)
-    assert set(drive.balancer.state.backends) == {ho.backend, "b9"}
-    assert drive.back(ho) == []
+    assert set(drive.balancer.state.backends) == {attempt.backend, "b9"}
+    assert drive.back(attempt) == []
     drive.balancer.update_backends(drive.now, [], whole=False, cached=False)
     assert set(drive.balancer.state.backends) == {"b9"}
     assert not drive.balancer.in_flight
@@ -291,8 +291,8 @@
 def test_a_report_that_counts_the_answered_one_is_read_without_it(idle_reads, others):
     drive = Drive(fleet((0,)))
     for reading in [idle_reads] * 20 + [1.0]:
-        (ho,) = hand_offs(drive.take())
-        drive.back(ho, report={"outstanding": reading})
+        (attempt,) = attempts(drive.take())
+        drive.back(attempt, report={"outstanding": reading})
     assert drive.balancer.state.backends["b0"].others_reading == others
     # A probe is not counted by its own answer.
     drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 1.0})
@@ -305,8 +305,8 @@
     spread(drive, 40, after=100)
     before = drive.balancer.admission.limit = 3.0
     for _ in range(40):
-        for ho in hand_offs(drive.take()):
-            drive.back(ho, after=700, report={"outstanding": queue})
+        for attempt in attempts(drive.take()):
+            drive.back(attempt, after=700, report={"outstanding": queue})
     assert (drive.balancer.admission.limit < before) is cut
 
 
@@ -317,9 +317,9 @@
     drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0.0})
     admission = drive.balancer.admission
     before = admission.limit = 5.0
-    while drive.now < 400_000 and (sent := hand_offs(drive.take(1))):
+    while drive.now < 400_000 and (sent := attempts(drive.take(1))):
         if meanwhile:
-            (other,) = hand_offs(drive.take(1))
+            (other,) = attempts(drive.take(1))
             drive.back(other, after=100, report={"outstanding": 1.0})
         drive.back(sent[0], Outcome.TIMED_OUT, after=5000)
     assert (admission.limit < before) is cut
@@ -333,6 +333,6 @@
     admission, took = drive.balancer.admission, drive.balancer.state.categories[0].base_time
     assert 11 < 10_000 / took < 14
     limit, admission.slowdown = admission.limit, float(times)
-    (ho,) = hand_offs(drive.take())
-    drive.back(ho, after=int(times * took))
+    (attempt,) = attempts(drive.take())
+    drive.back(attempt, after=int(times * took))
     assert (admission.limit < limit) is cut
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from helpers import SECOND, Drive, hand_offs
+from helpers import SECOND, Drive, attempts
 
 from nettledeal.handover import LEAVING, SERVING, STARTING, VERSION, Handover, read
 from nettledeal.learned_state import export_learned, import_learned
@@ -186,9 +186,11 @@
 def grown():
     drive = Drive()
     for n in range(200):
-        for ho in hand_offs(drive.take(n % 2)):
-            slow = ho.backend == "b1"
-            drive.back(ho, Outcome.ERROR if ho.backend == "b2" else Outcome.FINISHED, 900 if slow else 300)
+        for attempt in attempts(drive.take(n % 2)):
+            slow = attempt.backend == "b1"
+            drive.back(
+                attempt, Outcome.ERROR if attempt.backend == "b2" else Outcome.FINISHED, 900 if slow else 300
+            )
     return drive
 
 
@@ -261,7 +263,7 @@
         out = 0
         for drive in drives:
             for _ in range(60):
-                out += len(hand_offs(drive.take()))
+                out += len(attempts(drive.take()))
         return out
 
     cold = [Listing("b0", started_at=100_000)]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,7 +1,7 @@
 """Backends taken out of service by operators, in the module."""
 
 import pytest
-from helpers import SECOND, Drive, answers, fleet, hand_offs
+from helpers import SECOND, Drive, answers, attempts, fleet
 
 from nettledeal.model import Lifecycle, Listing, Outcome, Probe, Verdict
 
@@ -10,20 +10,20 @@
     """Takes work items, answers each; where they went."""
     went = []
     for _ in range(count):
-        for ho in hand_offs(drive.take(**fields)):
-            went.append(ho.backend)
+        for attempt in attempts(drive.take(**fields)):
+            went.append(attempt.backend)
             if answer:
-                drive.back(ho, after=50, report={"outstanding": 0})
+                drive.back(attempt, after=50, report={"outstanding": 0})
     return went
 
 
 def test_nothing_new_goes_to_a_backend_out_of_service():
     drive = Drive()
-    out = hand_offs(drive.take())[0]
+    out = attempts(drive.take())[0]
     assert drive.balancer.cordon(drive.now, out.backend)
     # A second try, too.
-    again = hand_offs(drive.back(out, Outcome.RESET))
-    assert [ho.backend != out.backend for ho in again] == [True]
+    again = attempts(drive.back(out, Outcome.RESET))
+    assert [attempt.backend != out.backend for attempt in again] == [True]
     assert out.backend not in run(drive, 200)
 
 
@@ -32,7 +32,7 @@
     drive.balancer.cordon(drive.now, "b1")
     probed = set()
     for _ in range(50):
-        probed |= {act.backend for act in drive.take() if isinstance(act, Probe)}
+        probed |= {action.backend for action in drive.take() if isinstance(action, Probe)}
         drive.now += 100
     assert probed and "b1" not in probed
 
@@ -80,12 +80,12 @@
     for id in ids:
         assert drive.balancer.cordon(drive.now, id)
     for _ in range(20):
-        acts = drive.take(category=1)
+        actions = drive.take(category=1)
         if len(ids) == 5:
-            assert [act.verdict for act in answers(acts)] == [Verdict.DEFERRED]
+            assert [action.verdict for action in answers(actions)] == [Verdict.DEFERRED]
         else:
-            assert hand_offs(acts)[0].backend in ("b3", "b4")
-            drive.back(hand_offs(acts)[0], after=10)
+            assert attempts(actions)[0].backend in ("b3", "b4")
+            drive.back(attempts(actions)[0], after=10)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from helpers import SECOND, Drive, answers, hand_offs, settings
+from helpers import SECOND, Drive, answers, attempts, settings
 from test_program import TOLD, changed
 from test_router import Desk
 
@@ -34,8 +34,8 @@
     """One that has served the old deployment for a while, and found it slow."""
     drive = Drive([Listing(f"b{n}", zone=n % 2) for n in range(12)], seed=seed, balancers=4, kinds="p")
     for n in range(120):
-        for ho in hand_offs(drive.take(n % 2)):
-            drive.back(ho, after=600 if n % 3 else 3000, report={"outstanding": 4.0})
+        for attempt in attempts(drive.take(n % 2)):
+            drive.back(attempt, after=600 if n % 3 else 3000, report={"outstanding": 4.0})
     return drive
 
 
@@ -100,14 +100,14 @@
         assert "limit" in changed or start != "moved"
         until = drive.now + 2 * SECOND
         while drive.now < until:
-            acts = drive.take(1)  # exclusive
+            actions = drive.take(1)  # exclusive
             taken += 1
-            deferred += len(answers(acts))
-            for ho in hand_offs(acts):
-                work[ho.backend] += 1
+            deferred += len(answers(actions))
+            for attempt in attempts(actions):
+                work[attempt.backend] += 1
                 # Lost on its way: it may have run, and must not go out again nor be deferred.
-                again = drive.back(ho, Outcome.RESET if me % 10 == 0 else Outcome.FINISHED, after=400)
-                assert not hand_offs(again)
+                again = drive.back(attempt, Outcome.RESET if me % 10 == 0 else Outcome.FINISHED, after=400)
+                assert not attempts(again)
                 drive.now += SECOND // 3
             drive.now += SECOND // 20
     assert deferred < 0.1 * taken
@@ -174,9 +174,9 @@
         picks = []
         for _ in range(30):
             drive.balancer.update_backends(drive.now, [Listing("b0", weight=size)], whole=False, cached=False)
-            for ho in hand_offs(drive.take()):
-                picks.append(ho.backend)
-                drive.back(ho)
+            for attempt in attempts(drive.take()):
+                picks.append(attempt.backend)
+                drive.back(attempt)
         seen.append(picks)
     assert seen[0] == seen[1]
     assert len(seen[0]) == 30
@@ -197,9 +197,9 @@
         ]
         drive.balancer.update_backends(now, listings, whole=True, cached=False)
         for _ in range(6):
-            for ho in hand_offs(drive.take()):
-                work[ho.backend] += 1
-                drive.back(ho, after=500)
+            for attempt in attempts(drive.take()):
+                work[attempt.backend] += 1
+                drive.back(attempt, after=500)
             drive.now += SECOND // 6
     equal = 200 * 6 / 48
     # Seven tenths of the push, 3 times three tenths of what an equal share is, grown by a second's warming.
@@ -211,14 +211,14 @@
     drive = Drive([], balancers=2, me=2, tariffs__connection=0.03)
     listings = [Listing(f"b{n}") for n in range(30)]
     drive.balancer.update_backends(drive.now, listings, whole=True, cached=True)
-    first = [ho.backend for _ in range(20) for ho in hand_offs(drive.take())]
+    first = [attempt.backend for _ in range(20) for attempt in attempts(drive.take())]
     assert first and max(Counter(first).values()) <= 2
     gone, *left = [b.id for b in drive.balancer.state.subsets[0]]
     others = [id for id in map("b{}".format, range(30)) if id != gone]
     news = [Listing(id, started_at=drive.now if id in left else 0) for id in others]
     drive.balancer.update_backends(drive.now, news, whole=True, cached=False)
     drive.now += 5 * SECOND
-    assert gone not in [ho.backend for _ in range(20) for ho in hand_offs(drive.take())]
+    assert gone not in [attempt.backend for _ in range(20) for attempt in attempts(drive.take())]
 
 
 def test_all_slow_together_exiles_nobody_and_passes():
@@ -226,11 +226,11 @@
     for after, turns in ((500, 60), (1400, 100), (500, 100)):
         picks, deferred = Counter(), 0
         for _ in range(turns):
-            acts = drive.take()
-            deferred += len(answers(acts))
-            for ho in hand_offs(acts):
-                picks[ho.backend] += 1
-                drive.back(ho, after=after)
+            actions = drive.take()
+            deferred += len(answers(actions))
+            for attempt in attempts(actions):
+                picks[attempt.backend] += 1
+                drive.back(attempt, after=after)
         assert len(picks) == 10
     assert not deferred
     assert not any(b.distrust for b in drive.balancer.state.backends.values())
@@ -242,12 +242,12 @@
     drive = Drive(balancers=3, projects__count=2, **shares)
     for n in range(40):
         customer = int(n % 10 == 0)
-        for ho in hand_offs(drive.take(0, customer=customer)):
-            drive.back(ho, after=1)
+        for attempt in attempts(drive.take(0, customer=customer)):
+            drive.back(attempt, after=1)
     kept = [0, 0]
     for _ in range(30):
         for customer in (0, 1):
-            kept[customer] += len(hand_offs(drive.take(0, customer=customer)))
+            kept[customer] += len(attempts(drive.take(0, customer=customer)))
     assert (kept[1] > kept[0] + 1) == spared
 
 
@@ -261,8 +261,8 @@
             drive.now, dict(drive.balancer.state.settings) | {"tariffs.cross_zone": price}
         )
         drive.balancer.locality.threshold = 0.3
-        for ho in hand_offs(drive.take()):
-            drive.back(ho, after=50)
+        for attempt in attempts(drive.take()):
+            drive.back(attempt, after=50)
         risen[price] = drive.balancer.locality.threshold / 0.3 - 1.0
     assert rises - 1 < risen[dearer] / risen[0.0] <= 1.2 * rises
 
@@ -278,5 +278,5 @@
     drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings) | told)
     drive.now += 20 * SECOND
     drive.balancer.loads.probe_credit = 0.0
-    probes = [act for _ in range(6) for act in drive.take() if isinstance(act, Probe)]
+    probes = [action for _ in range(6) for action in drive.take() if isinstance(action, Probe)]
     assert bool(probes) == asks
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 import pytest
-from helpers import Drive, answers, hand_offs, settings, until
+from helpers import Drive, answers, attempts, settings, until
 from test_program import TOLD, changed
 from test_router import Desk
 
@@ -138,26 +138,26 @@
 def test_effects_that_change(before, after, again):
     at = drive()
     at.balancer.apply_settings(at.now, named(("x", before)))
-    old = hand_offs(at.take(0))[0]
+    old = attempts(at.take(0))[0]
     at.balancer.apply_settings(at.now, named(("new", "rerunnable"), ("x", after)))
-    assert bool(hand_offs(at.back(old, Outcome.RESET))) is again
-    fresh = hand_offs(at.take(index(at, "x")))[0]
-    assert bool(hand_offs(at.back(fresh, Outcome.RESET))) is not again
+    assert bool(attempts(at.back(old, Outcome.RESET))) is again
+    fresh = attempts(at.take(index(at, "x")))[0]
+    assert bool(attempts(at.back(fresh, Outcome.RESET))) is not again
 
 
 def test_attempts_that_change():
     at = drive()
-    old = hand_offs(at.take(0))[0]
+    old = attempts(at.take(0))[0]
     at.balancer.apply_settings(at.now, {**BOTH, "allowed.most_hand_offs": 1})
-    assert hand_offs(at.back(old, Outcome.RESET))
-    fresh = hand_offs(at.take(0))[0]
-    assert not hand_offs(at.back(fresh, Outcome.RESET))
+    assert attempts(at.back(old, Outcome.RESET))
+    fresh = attempts(at.take(0))[0]
+    assert not attempts(at.back(fresh, Outcome.RESET))
 
 
 def test_what_was_learned_goes_by_name_not_by_place():
     at = drive()
     for _ in range(30):
-        at.back(hand_offs(at.take(1))[0], after=333)
+        at.back(attempts(at.take(1))[0], after=333)
     was = at.balancer.state.categories[1]
     assert was.samples == 30
     at.balancer.apply_settings(
@@ -174,11 +174,11 @@
 
 def test_a_category_dropped_with_work_open_is_answered_by_its_own_rules():
     at = drive()
-    out = hand_offs(at.take(1))[0]
+    out = attempts(at.take(1))[0]
     at.balancer.apply_settings(at.now, named(("read", "rerunnable")))
     assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
     # Those that still name it go by them, too.
-    out = hand_offs(at.take(index(at, "write")))[0]
+    out = attempts(at.take(index(at, "write")))[0]
     assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,5 +1,5 @@
 import pytest
-from helpers import DEFERRED, FAILED, SECOND, Drive, answers, fleet, hand_offs
+from helpers import DEFERRED, FAILED, SECOND, Drive, answers, attempts, fleet
 
 from nettledeal.model import Lifecycle, Listing, Outcome
 
@@ -26,23 +26,23 @@
 )
 def test_effect_by_outcome(category, outcome, again, verdict):
     drive = Drive()
-    (first,) = hand_offs(drive.take(category))
-    acts = drive.back(first, outcome, after=20)
-    assert bool(hand_offs(acts)) == again
+    (first,) = attempts(drive.take(category))
+    actions = drive.back(first, outcome, after=20)
+    assert bool(attempts(actions)) == again
     if not again:
-        assert [a.verdict for a in answers(acts)] == [verdict]
+        assert [a.verdict for a in answers(actions)] == [verdict]
         return
     # Past its due time nothing can be earned: it is answered at once, with what the effect allows.
-    (second,) = hand_offs(acts)
-    acts = drive.back(second, outcome, after=11_000)
-    assert not hand_offs(acts)
-    assert [a.verdict for a in answers(acts)] == [verdict]
+    (second,) = attempts(actions)
+    actions = drive.back(second, outcome, after=11_000)
+    assert not attempts(actions)
+    assert [a.verdict for a in answers(actions)] == [verdict]
 
 
 def test_ticket_stays_in_its_group_and_window():
     drive = Drive(fleet((0, 1)))
-    (first,) = hand_offs(drive.take(ZONE_TICKET))
-    (second,) = hand_offs(drive.back(first, Outcome.ERROR, after=20))
+    (first,) = attempts(drive.take(ZONE_TICKET))
+    (second,) = attempts(drive.back(first, Outcome.ERROR, after=20))
     assert second.backend == first.backend  # the only one in its zone
     assert answers(drive.back(second, Outcome.ERROR, after=5000))[0].verdict is FAILED
 
@@ -61,8 +61,8 @@
 def test_a_repeat_tells_by_when_it_must_have_begun(category, outcome, ends):
     drive = Drive(fleet((0, 0)))
     at = drive.now
-    (first,) = hand_offs(drive.take(category))
-    (second,) = hand_offs(drive.back(first, outcome, after=20))
+    (first,) = attempts(drive.take(category))
+    (second,) = attempts(drive.back(first, outcome, after=20))
     assert (first.begin_by, second.begin_by) == (None, at + 5000 if ends else None)
 
 
@@ -71,9 +71,9 @@
     drive = Drive(fleet((0, 0)))
     drive.balancer.update_backends(drive.now, [Listing("b0", lifecycle=life)], whole=False, cached=False)
     for _ in range(20):
-        (ho,) = hand_offs(drive.take())
-        assert ho.backend == "b1"
-        drive.back(ho)
+        (attempt,) = attempts(drive.take())
+        assert attempt.backend == "b1"
+        drive.back(attempt)
 
 
 @pytest.mark.parametrize(
@@ -87,31 +87,31 @@
 
 @pytest.mark.parametrize(("category", "expiry"), [(RERUN, 0), (RERUN, -5000), (EXCLUSIVE, 0)])
 def test_expired_on_arrival_is_answered_and_not_sent(category, expiry):
-    acts = Drive().take(category, expiry)
-    assert answers(acts)
-    assert not hand_offs(acts)
+    actions = Drive().take(category, expiry)
+    assert answers(actions)
+    assert not attempts(actions)
 
 
 def test_category_out_of_range_is_exclusive():
     drive = Drive()
-    (ho,) = hand_offs(drive.take(99))
-    assert [a.verdict for a in answers(drive.back(ho, Outcome.ERROR, after=20))] == [FAILED]
+    (attempt,) = attempts(drive.take(99))
+    assert [a.verdict for a in answers(drive.back(attempt, Outcome.ERROR, after=20))] == [FAILED]
 
 
 def test_cold_budget_holds_against_a_burst():
     now = 100_000
     drive = Drive([Listing("b0", started_at=now)], now=now)
-    sent = sum(bool(hand_offs(drive.take())) for _ in range(50))
+    sent = sum(bool(attempts(drive.take())) for _ in range(50))
     assert 1 <= sent <= 3
 
 
 def test_one_hand_off_at_a_time_where_copies_are_not_allowed():
     drive = Drive()
-    (ho,) = hand_offs(drive.take())
+    (attempt,) = attempts(drive.take())
     for _ in range(40):
         drive.now += 200
-        assert not hand_offs(drive.balancer.wake(drive.now).actions)
-    assert drive.back(ho, after=1) == []
+        assert not attempts(drive.balancer.wake(drive.now).actions)
+    assert drive.back(attempt, after=1) == []
 
 
 def test_unknown_hand_offs_and_work_items_are_ignored():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from helpers import SECOND, Drive, answers, fleet, hand_offs, settings
+from helpers import SECOND, Drive, answers, attempts, fleet, settings
 
 from nettledeal.model import Lifecycle, Listing, Outcome
 from nettledeal.policy.admission import OVERLOAD
@@ -19,14 +19,16 @@
     looked = set()
     view = drive.balancer.loads.cost
     monkeypatch.setattr(drive.balancer.loads, "cost", lambda b, now: looked.add(b.id) or view(b, now))
-    assert hand_offs(drive.take())
+    assert attempts(drive.take())
     assert 2 <= len(looked) <= 2 * SAMPLE_SIZE
 
 
 def test_agents_that_know_equally_little_spread_out():
     seen = Counter()
     for seed in range(300):
-        seen.update(ho.backend for ho in hand_offs(Drive(fleet([0] * 30), seed=seed, balancers=300).take()))
+        seen.update(
+            attempt.backend for attempt in attempts(Drive(fleet([0] * 30), seed=seed, balancers=300).take())
+        )
     assert len(seen) == 30
     assert max(seen.values()) < 30
 
@@ -41,11 +43,11 @@
         for turn in range(60):
             drive.now += SECOND // 2
             while waiting and waiting[0][0] <= drive.now:
-                ho = waiting.pop(0)[1]
+                attempt = waiting.pop(0)[1]
                 drive.balancer.on_attempt_end(
-                    drive.now, ho.work_item, 0, Outcome.FINISHED, 20_000, closed=True, report={}
+                    drive.now, attempt.work_item, 0, Outcome.FINISHED, 20_000, closed=True, report={}
                 )
-            waiting += [(drive.now + 20_000, ho) for ho in hand_offs(drive.take(0, 4 * SECOND))]
+            waiting += [(drive.now + 20_000, attempt) for attempt in attempts(drive.take(0, 4 * SECOND))]
             out += len(waiting) / 30 if turn >= 30 else 0
     assert 0.2 * len(FULL_FLEET) <= out <= 2 * OVERLOAD * len(FULL_FLEET)
 
@@ -53,8 +55,8 @@
 def test_a_backend_never_used_is_guessed_by_its_kind():
     drive = Drive([Listing(f"b{n}", machine_type=n % 2) for n in range(24)], balancers=100)
     for _ in range(150):
-        for ho in hand_offs(drive.take()):
-            drive.back(ho, after=2400 if int(ho.backend[1:]) % 2 else 800)
+        for attempt in attempts(drive.take()):
+            drive.back(attempt, after=2400 if int(attempt.backend[1:]) % 2 else 800)
     kinds = [Listing("n0"), Listing("n1", machine_type=1)]
     drive.balancer.update_backends(drive.now, kinds, whole=False, cached=False)
     loads, backends = drive.balancer.loads, drive.balancer.state.backends
@@ -71,9 +73,9 @@
     drive.now += age
     picks = Counter()
     for _ in range(200):
-        for ho in hand_offs(drive.take()):
-            picks[ho.backend] += 1
-            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+        for attempt in attempts(drive.take()):
+            picks[attempt.backend] += 1
+            drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert (picks["b0"] > 0.5 * sum(picks.values())) == sharp
 
 
@@ -99,28 +101,28 @@
     ],
 )
 def test_odd_lists(listings, sent):
-    acts = Drive(listings, balancers=500).take()
-    assert bool(hand_offs(acts)) == sent
-    assert bool(answers(acts)) != sent
+    actions = Drive(listings, balancers=500).take()
+    assert bool(attempts(actions)) == sent
+    assert bool(answers(actions)) != sent
 
 
 def test_a_list_replaced_whole_under_traffic():
     drive = Drive(fleet((0, 0, 1)), balancers=300)
-    (ho,) = hand_offs(drive.take(1))
+    (attempt,) = attempts(drive.take(1))
     drive.balancer.update_backends(drive.now, [Listing(f"n{n}") for n in range(40)], whole=True, cached=False)
     # It may have run on a backend that is gone: it is not sent again, and what is new goes to the new.
-    assert not hand_offs(drive.back(ho, Outcome.RESET))
-    assert all(ho.backend.startswith("n") for _ in range(10) for ho in hand_offs(drive.take()))
+    assert not attempts(drive.back(attempt, Outcome.RESET))
+    assert all(attempt.backend.startswith("n") for _ in range(10) for attempt in attempts(drive.take()))
 
 
 def test_a_burst_after_minutes_of_silence():
     drive = Drive(FULL_FLEET, balancers=500)
-    for ho in hand_offs(drive.take()):
-        drive.back(ho)
+    for attempt in attempts(drive.take()):
+        drive.back(attempt)
     drive.now += 300 * SECOND
-    acts = [act for _ in range(50) for act in drive.take()]
-    assert 1 <= len(hand_offs(acts)) <= OVERLOAD
-    assert len(hand_offs(acts)) + len(answers(acts)) == 50
+    actions = [action for _ in range(50) for action in drive.take()]
+    assert 1 <= len(attempts(actions)) <= OVERLOAD
+    assert len(attempts(actions)) + len(answers(actions)) == 50
 
 
 @pytest.mark.parametrize("warm", [0, 10])
@@ -134,8 +136,8 @@
         for name, queue in [(f"w{n}", 40) for n in range(warm)] + [(f"c{n}", 0) for n in range(10)]:
             for _ in range(12):
                 drive.balancer.on_probe(now, name, Outcome.FINISHED, 3, {"outstanding": queue})
-        for ho in hand_offs(drive.take()):
-            seen[ho.backend] += 1
+        for attempt in attempts(drive.take()):
+            seen[attempt.backend] += 1
             total += 1
     # At most 0.7 of the push of 3 times what each cold one bears now, as a part of a warm fleet's work;
     # where all are cold the rest is deferred.
@@ -149,11 +151,11 @@
     drives = [Drive(fleet([0] * 30), seed=seed, family_info__warm_keys=True) for seed in range(40)]
     cold, hot = Counter(), Counter()
     for drive in drives:
-        cold.update(ho.backend for ho in hand_offs(drive.take(key="k1")))
+        cold.update(attempt.backend for attempt in attempts(drive.take(key="k1")))
     for _ in range(60):
-        for ho in hand_offs(drives[0].take(key="k2")):
-            hot[ho.backend] += 1
-            drives[0].back(ho)
+        for attempt in attempts(drives[0].take(key="k2")):
+            hot[attempt.backend] += 1
+            drives[0].back(attempt)
     assert cold.most_common(1)[0][1] > 0.7 * sum(cold.values())
     assert len(hot) > 2
 
@@ -161,17 +163,17 @@
 @pytest.mark.parametrize(("wait", "sent"), [(SECOND // 2, False), (3 * SECOND, True)])
 def test_who_defers_everything_tries_again_after_a_while(wait, sent):
     drive = Drive()
-    drive.back(hand_offs(drive.take())[0])
+    drive.back(attempts(drive.take())[0])
     drive.balancer.state.categories[0].base_time = 30_000.0
     drive.now += wait
-    assert bool(hand_offs(drive.take())) == sent
+    assert bool(attempts(drive.take())) == sent
 
 
 def test_one_heavy_answer_does_not_make_a_category_hopeless():
     drive = Drive(categories__0__payoff=1.0)
-    drive.back(hand_offs(drive.take())[0], after=9900)
+    drive.back(attempts(drive.take())[0], after=9900)
     drive.now += SECOND // 10
-    assert hand_offs(drive.take())
+    assert attempts(drive.take())
 
 
 def test_the_usual_time_rises_slower_than_it_falls():
@@ -180,7 +182,7 @@
         drive = Drive()
         start = drive.balancer.state.guess_base_time(drive.balancer.state.categories[0])
         for _ in range(5):
-            drive.back(hand_offs(drive.take(0, 20_000))[0], after=after)
+            drive.back(attempts(drive.take(0, 20_000))[0], after=after)
             drive.now += 3 * SECOND
         usual[after] = drive.balancer.state.categories[0].base_time
     assert usual[500] < 0.6 * start
@@ -201,10 +203,10 @@
         for n in range(7):
             drive.balancer.on_probe(now, f"w{n}", Outcome.FINISHED, 3, {"outstanding": 0})
         for _ in range(20):
-            for ho in hand_offs(drive.take()):
-                warm[ho.backend] += ho.backend != "c"
-                cold += ho.backend == "c"
-                drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+            for attempt in attempts(drive.take()):
+                warm[attempt.backend] += attempt.backend != "c"
+                cold += attempt.backend == "c"
+                drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
     usual = sum(warm.values()) / 7
     assert least * usual < cold < most * usual
 
@@ -213,9 +215,9 @@
     drive = Drive([Listing("c", started_at=99_000), Listing("w")], rules__warm_within=60 * SECOND)
     b = drive.balancer.state.backends["c"]
     for _ in range(40):
-        for ho in hand_offs(drive.take()):
-            slow = drive.balancer.health.capacity(b, drive.now) if ho.backend == "c" else 1.0
-            drive.back(ho, after=int(1000 / slow))
+        for attempt in attempts(drive.take()):
+            slow = drive.balancer.health.capacity(b, drive.now) if attempt.backend == "c" else 1.0
+            drive.back(attempt, after=int(1000 / slow))
     assert abs(drive.balancer.loads._log_slowness(b, drive.now)) < 0.3
 
 
@@ -231,9 +233,9 @@
         others = [key for key, home in homes if home != "b0"][:117]
         for key in 2 * (mine + others):
             named += key in mine
-            for ho in hand_offs(drive.take(key=key)):
-                sent += key in mine and ho.backend == "b0"
-                drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+            for attempt in attempts(drive.take(key=key)):
+                sent += key in mine and attempt.backend == "b0"
+                drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert named == 120
     assert 0.35 * named < sent < 0.95 * named
 
@@ -269,9 +271,9 @@
     for key in map("k{}".format, range(400)):
         mine = drive.balancer.key_affinity.preferred(key)[0] is home
         named += mine
-        for ho in hand_offs(drive.take(key=key)):
-            sent += mine and ho.backend == home.id
-            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+        for attempt in attempts(drive.take(key=key)):
+            sent += mine and attempt.backend == home.id
+            drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert (sent > 0.5 * named) == kept
 
 
@@ -285,7 +287,7 @@
     drive.balancer.state.open, drive.balancer.state.mean_open = out, 0.3
     drive.balancer.state.open_at = drive.now
     drive.balancer.admission.slowdown = slowdown
-    assert bool(hand_offs(drive.take())) == sent
+    assert bool(attempts(drive.take())) == sent
 
 
 @pytest.mark.parametrize(("sooner", "more"), [(0.2, 1.22), (5.0, 1.35)])
@@ -297,9 +299,9 @@
     for b in drive.balancer.state.backends.values():
         b.log_slowness, b.slowness_at = (-sooner if b.id == "c" else 2.0), now
     for _ in range(turns):
-        for ho in hand_offs(drive.take()):
-            sent += ho.backend == "c"
-            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+        for attempt in attempts(drive.take()):
+            sent += attempt.backend == "c"
+            drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
     told = drive.balancer.health.capacity(drive.balancer.state.backends["c"], now)
     assert sent / turns == pytest.approx(0.7 * 3.0 * more * told / 8, rel=0.08)
 
@@ -310,8 +312,8 @@
     drive = Drive(fleet([0] * 33), balancers=200, categories__0__due_time=3 * SECOND)
     for _ in range(30):
         drive.now += SECOND
-        for ho in hand_offs(drive.take(0, 4 * SECOND)):
-            drive.back(ho, after=took)
+        for attempt in attempts(drive.take(0, 4 * SECOND)):
+            drive.back(attempt, after=took)
     drive.now += 3 * SECOND
     drive.balancer.admission.slowdown = took / 800
     drive.take(0, 6 * SECOND)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    ("act", "line"),
+    ("action", "line"),
     [
         (SendAttempt(9, 0, "a:1", 25), "relay i=2 txn=9 give_up_after=2500000 backend=a:1"),
         (Answer(9, Verdict.DEFERRED, 10), "reject i=2 txn=9 retry_after=1000000"),
@@ -113,8 +113,8 @@
         (Answer(9, Verdict.FAILED), "finish_error i=2 txn=9"),
     ],
 )
-def test_lines(act, line):
-    assert codec.encode(2, act) == line
+def test_lines(action, line):
+    assert codec.encode(2, action) == line
 
 
 def test_clock_rounds_up_and_expiry_down():
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from helpers import SECOND, Drive, fleet, hand_offs
+from helpers import SECOND, Drive, attempts, fleet
 from test_decisions import spread
 
 from nettledeal.learned_state import set_fleet_size
@@ -34,9 +34,9 @@
         drive.now += SECOND // rate
         while waiting and waiting[0][0] <= drive.now:
             drive.back(waiting.pop(0)[1], after=0)
-        for ho in hand_offs(drive.take()):
-            waiting.append((drive.now + SECOND // 2, ho))
-            seen.add(ho.backend)
+        for attempt in attempts(drive.take()):
+            waiting.append((drive.now + SECOND // 2, attempt))
+            seen.add(attempt.backend)
         peaks.update({b.id: max(0, len(b.in_flight) - peaks[b.id]) for b in drive.balancer.state.near})
     assert (len(seen) == SUBSET) is few
     # It had them crowd its two, and the rest deferred, beside ten that had nothing to do.
@@ -79,9 +79,9 @@
     """Its cell has one backend in the part: the second try must go to the cell all the same."""
     listings = [Listing(f"b{n}", cell=n // 4) for n in range(40)]
     drive = Drive(listings, balancers=300, me=1, tariffs__connection=0.03, categories__3__group="cell")
-    (ho,) = hand_offs(drive.take(3))
-    (second,) = hand_offs(drive.back(ho, Outcome.RESET, after=SECOND // 50))
-    assert int(second.backend[1:]) // 4 == int(ho.backend[1:]) // 4
+    (attempt,) = attempts(drive.take(3))
+    (second,) = attempts(drive.back(attempt, Outcome.RESET, after=SECOND // 50))
+    assert int(second.backend[1:]) // 4 == int(attempt.backend[1:]) // 4
 
 
 @pytest.mark.parametrize("category", [0, 1, 2, 3], ids=["rerunnable", "exclusive", "ticketed", "in a cell"])
@@ -93,18 +93,18 @@
     full = drive.balancer.state.subsets[0][0].id
     used, refused, moved = Counter(), 0, 0
     for turn in range(60):
-        waiting = hand_offs(drive.take(category))
+        waiting = attempts(drive.take(category))
         while waiting:
-            ho = waiting.pop()
-            used[ho.backend] += 1
-            if ho.backend == full and turn < 40 and turn % 2:
+            attempt = waiting.pop()
+            used[attempt.backend] += 1
+            if attempt.backend == full and turn < 40 and turn % 2:
                 refused += 1
-                again = hand_offs(drive.back(ho, Outcome.UNREACHABLE, after=10))
+                again = attempts(drive.back(attempt, Outcome.UNREACHABLE, after=10))
                 assert all(other.backend != full for other in again)
                 moved += len(again)
                 waiting += again
             else:
-                drive.back(ho)
+                drive.back(attempt)
         drive.now += SECOND // 4
         if turn == 40:
             drive.now += 6 * SECOND
