--- a/src/nettledeal/dataplane/backend_response.py
+++ b/src/nettledeal/dataplane/backend_response.py
@@ -9,7 +9,7 @@
 
 from nettledeal.dataplane.backend_connections import MAX_RESPONSE_HEAD_BYTES, BackendConnection
 from nettledeal.net.protocol.bodies import BodyUntilClose
-from nettledeal.net.protocol.framing import Malformed, Message
+from nettledeal.net.protocol.framing import MalformedMessage, Message
 
 MAX_INTERIM_RESPONSES = 8
 MAX_UNRELATED_RESPONSES = 4
@@ -21,8 +21,8 @@
 class BackendResponse:
     """Reads the response to one request from a connection, skipping responses to other requests.
 
-    All reads raise OSError if the connection breaks and Malformed if the bytes are no valid response. If the
-    connection has a timeout, `keep_waiting` is called after each timeout to decide whether to read on.
+    All reads raise OSError if the connection breaks and MalformedMessage if the bytes are no valid response.
+    If the connection has a timeout, `keep_waiting` is called after each timeout to decide whether to read on.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
     def is_buffered(self) -> bool:
         """Whether the body is small enough to be read completely before it is relayed."""
         return (
-            self.message.reader is None
+            self.message.body_reader is None
             or (self.message.length or MAX_BUFFERED_BODY_BYTES + 1) <= MAX_BUFFERED_BODY_BYTES
         )
 
@@ -120,11 +120,11 @@
             and self._response_end == self.connection.read_buffer.filled
             and not self.unrelated_count
         )
-        return clean and self.message.keeps and not isinstance(self.message.reader, BodyUntilClose)
+        return clean and self.message.keep_alive and not isinstance(self.message.body_reader, BodyUntilClose)
 
     def head_fields(self) -> bytes:
         """The header lines to be relayed to the client."""
-        return self.message.passed_on()
+        return self.message.end_to_end_headers()
 
     def read_body(self) -> memoryview | bytes:
         """The whole body."""
@@ -144,7 +144,7 @@
         """Read more of the body; one without a length is complete when the connection closes normally."""
         if self._read_available():
             self._parse()
-        elif self.message.ended():
+        elif self.message.finish_at_eof():
             self._complete = True
         else:
             raise ConnectionResetError("backend closed the connection before the end of the response")
@@ -154,7 +154,7 @@
         while True:
             try:
                 read = self.connection.read_buffer.read(
-                    self.connection.sock, self.message.whole, self.message.kept
+                    self.connection.sock, self.message.total_bytes, self.message.retained_bytes
                 )
                 self.on_received()
                 return read
@@ -164,26 +164,26 @@
 
     def _take_pieces(self) -> list[bytes]:
         message = self.message
-        if message.reader is None:
+        if message.body_reader is None:
             if not self._complete or self._body_taken:
                 return []
             self._body_taken = 1
             return [bytes(message.body)] if len(message.body) else []
-        pieces = list(message.pieces)
-        message.pieces.clear()
+        pieces = list(message.body_pieces)
+        message.body_pieces.clear()
         return pieces
 
     def _new_message(self) -> Message:
         return Message(
             httptools.HttpResponseParser,
             MAX_RESPONSE_BYTES,
-            bare=self.bodiless,
-            most_head=MAX_RESPONSE_HEAD_BYTES,
+            bodiless=self.bodiless,
+            max_head_bytes=MAX_RESPONSE_HEAD_BYTES,
         )
 
     def _parse(self) -> None:
         read_buffer = self.connection.read_buffer
-        used = self.message.look(read_buffer.buffer, read_buffer.filled)
+        used = self.message.parse(read_buffer.buffer, read_buffer.filled)
         if used is not None:
             self._response_end = used
             self._complete = True
@@ -193,27 +193,27 @@
         for _ in range(MAX_INTERIM_RESPONSES):
             if read_buffer.filled:
                 self._parse()
-            while not self.message.head:
+            while not self.message.head_bytes:
                 if not self._read_available():
                     raise ConnectionResetError("backend closed the connection without a response")
                 self._parse()
             if self.message.status >= HTTPStatus.OK:
                 return
-            self._next_message(self.message.head)
-        raise Malformed(HTTPStatus.BAD_GATEWAY, "too many interim responses")
+            self._next_message(self.message.head_bytes)
+        raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "too many interim responses")
 
     def _skip_unrelated_response(self) -> None:
         """Read past a response to another request."""
         self.unrelated_count += 1
         if self.unrelated_count > MAX_UNRELATED_RESPONSES or b"request-id" not in self.message.headers:
-            raise Malformed(HTTPStatus.BAD_GATEWAY, "response to a different request")
+            raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "response to a different request")
         self._check_framing()
         while not self._complete:
             self.read_pieces()
         self._next_message(self._response_end)
 
     def _next_message(self, used: int) -> None:
-        self.connection.read_buffer.next(used)
+        self.connection.read_buffer.start_next_message(used)
         self.message = self._new_message()
         self._complete = False
         self._body_taken = 0
@@ -221,7 +221,7 @@
 
     def _check_framing(self) -> None:
         message = self.message
-        end_is_declared = message.dated or b"close" in message.connection
-        if isinstance(message.reader, BodyUntilClose) and not end_is_declared:
+        end_is_declared = message.is_http_1_0 or b"close" in message.connection_options
+        if isinstance(message.body_reader, BodyUntilClose) and not end_is_declared:
             # An undeclared read-until-close body may never end.
-            raise Malformed(HTTPStatus.BAD_GATEWAY, "response length is not declared")
+            raise MalformedMessage(HTTPStatus.BAD_GATEWAY, "response length is not declared")
--- a/src/nettledeal/dataplane/client_request.py
+++ b/src/nettledeal/dataplane/client_request.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from nettledeal.net.protocol.framing import Malformed, Message
+from nettledeal.net.protocol.framing import MalformedMessage, Message
 
 if TYPE_CHECKING:
     from nettledeal.tenancy.prompts import SeparatedPrompt
@@ -27,26 +27,26 @@
     """One request; its properties are valid once `read` has reported that it is complete."""
 
     def __init__(self, max_header_bytes: int, max_body_bytes: int):
-        self.message = Message(httptools.HttpRequestParser, max_body_bytes, most_head=max_header_bytes)
+        self.message = Message(httptools.HttpRequestParser, max_body_bytes, max_head_bytes=max_header_bytes)
         self.received_at = 0.0
         self.continue_sent = False
         self.separated: SeparatedPrompt | None = None  # set once a tenant's request has been admitted
         self.rewrites_prompt = False
 
     def read(self, buffer: bytearray, filled: int) -> int | None:
-        """The length of the request in bytes, None while it is incomplete. Raises Malformed."""
-        return self.message.look(buffer, filled)
+        """The length of the request in bytes, None while it is incomplete. Raises MalformedMessage."""
+        return self.message.parse(buffer, filled)
 
     def validate(self) -> None:
-        """Raises Malformed if the request can't be forwarded to a backend as it is."""
+        """Raises MalformedMessage if the request can't be forwarded to a backend as it is."""
         if not self.path.startswith(b"/"):
-            raise Malformed(HTTPStatus.BAD_REQUEST, "request target is not a path")
+            raise MalformedMessage(HTTPStatus.BAD_REQUEST, "request target is not a path")
         if self.method in (b"CONNECT", b"TRACE"):
-            raise Malformed(HTTPStatus.NOT_IMPLEMENTED, "method is not supported")
+            raise MalformedMessage(HTTPStatus.NOT_IMPLEMENTED, "method is not supported")
         if not self.request_id:
-            raise Malformed(HTTPStatus.BAD_REQUEST, "Request-Id is missing")
-        if self.message.dated:
-            raise Malformed(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 only")
+            raise MalformedMessage(HTTPStatus.BAD_REQUEST, "Request-Id is missing")
+        if self.message.is_http_1_0:
+            raise MalformedMessage(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 only")
 
     def header(self, name: bytes) -> bytes:
         """The value of a header by its lower-case name; empty if missing."""
@@ -56,7 +56,7 @@
         """How many headers have this lower-case name."""
         if name not in self.message.headers:
             return 0
-        return sum(field.lower() == name for field, _ in self.message.fields)
+        return sum(field.lower() == name for field, _ in self.message.raw_headers)
 
     @property
     def method(self) -> bytes:
@@ -81,12 +81,12 @@
     @property
     def expects_continue(self) -> bool:
         """Whether the client waits for 100 Continue before it sends the body."""
-        return self.message.head > 0 and self.header(b"expect").lower() == b"100-continue"
+        return self.message.head_bytes > 0 and self.header(b"expect").lower() == b"100-continue"
 
     @property
     def keeps_connection(self) -> bool:
         """Whether the connection stays open after this request."""
-        return self.message.keeps
+        return self.message.keep_alive
 
     def deadline_s(self, route_timeout_s: float) -> float:
         """How long the client waits, in seconds from its request, capped by the route's timeout."""
@@ -110,7 +110,7 @@
             replaced_headers += (_PROMPT_PREFIX,) if self.rewrites_prompt else ()
         lines = [
             b"%b %b HTTP/1.1\r\n" % (message.method, message.url),
-            message.passed_on(*replaced_headers),
+            message.end_to_end_headers(*replaced_headers),
             b"Deadline-Ms: %d\r\nExpect-Instance: %b\r\nPriority: %d\r\n"
             % (max(1, int(remaining_s * MS_PER_S)), backend_id.encode("latin-1"), priority),
         ]
--- a/src/nettledeal/net/routing/actions.py
+++ b/src/nettledeal/net/routing/actions.py
@@ -1,4 +1,4 @@
-"""Carries out what the balancer decides: hand-offs, answers, recalls and probes of requests that are open."""
+"""Carries out the balancer's decisions for open requests: hand-offs, answers, cancellations and probes."""
 
 from __future__ import annotations
 
@@ -20,144 +20,157 @@
 )
 from nettledeal.net.clock import Clock
 from nettledeal.net.counters import Counters
-from nettledeal.net.protocol import backend as dialect
+from nettledeal.net.protocol import backend as backend_protocol
 from nettledeal.net.protocol.backend import Reply
 from nettledeal.net.protocol.client import ClientRequest
-from nettledeal.net.routing.intake import Intake
+from nettledeal.net.routing.request_admission import RequestAdmission
+from nettledeal.net.transport.backend_pools import BackendPools
 from nettledeal.net.transport.exchange import Exchange
 from nettledeal.net.transport.pending_answer import PendingAnswer
-from nettledeal.net.transport.pools import Pools
-from nettledeal.net.transport.relay import SLOWEST
+from nettledeal.net.transport.relay import MAX_UPLOAD_TENTHS
 
-# The answer is to be with the client before its expiry, which counts from when it sent: so much is left
-# for the way here and back.
-WAY = 20
+# Allowance for network transit (in Time units, tenths of a millisecond). A request's expiry counts from when
+# the client sent it, and the answer must reach the client before that.
+TRANSIT_MARGIN_TENTHS = 20
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A work item taken and not yet answered."""
+    """A request that was accepted and has no answer yet."""
 
     request: ClientRequest
     pending: PendingAnswer
-    out: dict[int, Exchange] = field(default_factory=dict)
+    exchanges: dict[int, Exchange] = field(default_factory=dict)  # in flight, by hand-off number
 
 
-class Events(Protocol):
-    """Whom it is told what comes of a hand-off or a probe."""
+class ExchangeEvents(Protocol):
+    """Receives the results of hand-offs and probes."""
 
-    def returned(self, id: int, number: int, reply: Reply) -> None: ...
+    def hand_off_ended(self, id: int, number: int, reply: Reply) -> None: ...
 
-    def probed(self, backend: str, reply: Reply) -> None: ...
+    def probe_ended(self, backend: str, reply: Reply) -> None: ...
 
-    def handed_on(self, id: int, number: int) -> None: ...
+    def upload_started(self, id: int, number: int) -> None: ...
 
 
-class Actions:
+class ActionExecutor:
     def __init__(
         self,
         clock: Clock,
         counters: Counters,
-        pools: Pools,
-        intake: Intake,
-        events: Events,
-        probe_within: Time,
-        reports: bool,
+        pools: BackendPools,
+        admission: RequestAdmission,
+        events: ExchangeEvents,
+        probe_timeout: Time,
+        request_reports: bool,
         subscribe: Callable[[], None],
     ):
         self.clock = clock
         self.counters = counters
         self.pools = pools
-        self.intake = intake
+        self.admission = admission
         self.events = events
-        self.probe_within = probe_within
-        self.reports = reports
+        self.probe_timeout = probe_timeout
+        self.request_reports = request_reports
         self.subscribe = subscribe
-        self.open: dict[int, OpenRequest] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
 
-    def carry_out(self, acts: Iterable[Action], told: Time) -> None:
-        """In their order; `told` is the time that the balancer went by."""
-        for act in acts:
+    def carry_out(self, actions: Iterable[Action], decided_at: Time) -> None:
+        """Carry out `acts` in order. `decided_at` is the time that the balancer used for the decision."""
+        for action in actions:
             try:
-                self._act(act, told)
+                self._execute(action, decided_at)
             except Exception:
-                # The acts behind it are for other work items.
-                self.counters.fault(type(act).__name__)
-                if isinstance(act, SendAttempt):
-                    self.events.returned(act.work_item, act.number, Reply(Outcome.UNSENT))
+                # The remaining acts concern other work items, so go on with them.
+                self.counters.record_exception(type(action).__name__)
+                if isinstance(action, SendAttempt):
+                    self.events.hand_off_ended(action.work_item, action.number, Reply(Outcome.UNSENT))
 
-    def _act(self, act: Action, told: Time) -> None:
-        match act:
+    def _execute(self, action: Action, decided_at: Time) -> None:
+        match action:
             case SendAttempt():
-                self._hand_off(act, told)
+                self._send_hand_off(action, decided_at)
             case Answer(id, verdict, retry_after):
-                self._answer(id, verdict, retry_after)
+                self._send_answer(id, verdict, retry_after)
             case CancelAttempt(id, number):
-                held = self.open.get(id)
-                if held is not None and number in held.out:
-                    held.out[number].drop()
+                open_request = self.open_requests.get(id)
+                if open_request is not None and number in open_request.exchanges:
+                    open_request.exchanges[number].cancel()
             case Probe(backend):
-                self._probe(str(backend))
+                self._send_probe(str(backend))
             case SubscribeToList():
                 self.subscribe()
 
-    def _hand_off(self, act: SendAttempt, told: Time) -> None:
-        held = self.open.get(act.work_item)
-        self.counters.must(held is not None, "a hand-off belongs to a work item not yet answered")
+    def _send_hand_off(self, action: SendAttempt, decided_at: Time) -> None:
+        open_request = self.open_requests.get(action.work_item)
+        self.counters.check_invariant(
+            open_request is not None, "a hand-off belongs to a work item not yet answered"
+        )
 
-        def done(reply: Reply) -> None:
-            self.events.returned(act.work_item, act.number, reply)
+        def on_reply(reply: Reply) -> None:
+            self.events.hand_off_ended(action.work_item, action.number, reply)
 
-        if held is None or not held.pending.wanted:
-            # Its client has left and the word of it is still in the queue: nothing is sent for nobody.
-            done(Reply(Outcome.UNSENT))
+        if open_request is None or not open_request.pending.is_wanted:
+            # The client has disconnected, but that event is still queued: don't start work for it.
+            on_reply(Reply(Outcome.UNSENT))
             return
-        backend = str(act.backend)
-        exchange = self._exchange(act, held, told, done)
-        held.out[act.number] = exchange
-        if not self.pools.carry(backend, exchange):
+        backend = str(action.backend)
+        exchange = self._new_exchange(action, open_request, decided_at, on_reply)
+        open_request.exchanges[action.number] = exchange
+        if not self.pools.send(backend, exchange):
             self.counters["hand-offs without a connection"] += 1
-            done(Reply(Outcome.UNSENT))
+            on_reply(Reply(Outcome.UNSENT))
 
-    def _exchange(
-        self, act: SendAttempt, held: OpenRequest, told: Time, done: Callable[[Reply], None]
+    def _new_exchange(
+        self,
+        action: SendAttempt,
+        open_request: OpenRequest,
+        decided_at: Time,
+        on_reply: Callable[[Reply], None],
     ) -> Exchange:
-        request = held.request
-        time_out = act.timeout
+        request = open_request.request
+        timeout = action.timeout
         if request.upload is not None:
-            # Its expiry lies as far off as the slowest upload; its answer's wait runs from its last byte.
-            time_out = max(1, held.pending.by - told - SLOWEST - 2 * WAY)
-        exchange = Exchange(dialect.hand_off(request, time_out), told + act.timeout, done)
-        exchange.begin_by = act.begin_by
-        exchange.bare = request.method == b"HEAD"
-        exchange.wanted = lambda: held.pending.wanted
+            # The deadline includes the longest possible upload; the reply timeout starts at the last byte.
+            timeout = max(
+                1, open_request.pending.deadline - decided_at - MAX_UPLOAD_TENTHS - 2 * TRANSIT_MARGIN_TENTHS
+            )
+        exchange = Exchange(
+            backend_protocol.encode_hand_off(request, timeout), decided_at + action.timeout, on_reply
+        )
+        exchange.begin_by = action.begin_by
+        exchange.bodiless = request.method == b"HEAD"
+        exchange.is_wanted = lambda: open_request.pending.is_wanted
         if request.upload is not None:
-            exchange.upload, exchange.wait = request.upload, time_out
-            exchange.handed_on = lambda: self.events.handed_on(act.work_item, act.number)
+            exchange.upload, exchange.reply_timeout = request.upload, timeout
+            exchange.on_upload_start = lambda: self.events.upload_started(action.work_item, action.number)
         return exchange
 
-    def _probe(self, backend: str) -> None:
-        def done(reply: Reply) -> None:
-            self.events.probed(backend, reply)
+    def _send_probe(self, backend: str) -> None:
+        def on_reply(reply: Reply) -> None:
+            self.events.probe_ended(backend, reply)
 
-        head = dialect.probe(self.pools.host(backend), self.reports)
-        give_up_at = self.clock.now() + self.probe_within
-        if not self.pools.carry(backend, Exchange([head], give_up_at, done, probe=True)):
-            done(Reply(Outcome.UNSENT))
+        head = backend_protocol.encode_probe(self.pools.host(backend), self.request_reports)
+        deadline = self.clock.now() + self.probe_timeout
+        if not self.pools.send(backend, Exchange([head], deadline, on_reply, is_probe=True)):
+            on_reply(Reply(Outcome.UNSENT))
 
-    def _answer(self, id: int, verdict: Verdict, retry_after: Time) -> None:
-        held = self.open.get(id)
-        self.counters.must(held is not None, "a work item gets one answer")
-        if held is None:
+    def _send_answer(self, id: int, verdict: Verdict, retry_after: Time) -> None:
+        open_request = self.open_requests.get(id)
+        self.counters.check_invariant(open_request is not None, "a work item gets one answer")
+        if open_request is None:
             return
         deferred = verdict is Verdict.DEFERRED
         status = HTTPStatus.SERVICE_UNAVAILABLE if deferred else HTTPStatus.BAD_GATEWAY
-        held.pending.put(status, retry_after=retry_after)
+        open_request.pending.put(status, retry_after=retry_after)
         self.close(id)
 
     def close(self, id: int) -> None:
-        """Answered, or its client is gone: what is still out for it ends, or it would be sent afterwards."""
-        held = self.open.pop(id)
-        self.intake.names.discard(held.request.name)
-        for exchange in held.out.values():
-            exchange.drop()
+        """Forget a request that was answered or whose client left.
+
+        Cancels its remaining exchanges: those not written yet would otherwise still be sent.
+        """
+        open_request = self.open_requests.pop(id)
+        self.admission.open_request_ids.discard(open_request.request.request_id)
+        for exchange in open_request.exchanges.values():
+            exchange.cancel()
--- a/src/nettledeal/net/transport/sockets.py
+++ b/src/nettledeal/net/transport/sockets.py
@@ -1,4 +1,4 @@
-"""What both sides of the agent do with a socket."""
+"""Socket helpers that the client side and the backend side share."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 from nettledeal.net.address import Address
 
-# The kernel takes no more than a thousand at once, and few are quicker as one.
-MOST_PARTS = 32
+# The kernel accepts at most about a thousand parts, and many small parts are faster joined into one.
+MAX_SENDMSG_PARTS = 32
 
 
-# SO_ATTACH_REUSEPORT_CBPF, which the library has no name for.
-_STEER = 51
+# The socket module doesn't define this option.
+_SO_ATTACH_REUSEPORT_CBPF = 51
 
 
-def opened(address: Address) -> socket.socket:
+def new_socket(address: Address) -> socket.socket:
     return socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
 
 
-def bound(address: Address, shared: bool = False) -> socket.socket:
-    """A listening socket; a shared one lets a successor listen at the same address, beside it."""
-    sock = opened(address)
+def listening_socket(address: Address, shared: bool = False) -> socket.socket:
+    """A listening socket. A shared one lets a successor process listen at the same address (SO_REUSEPORT)."""
+    sock = new_socket(address)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
@@ -40,28 +40,31 @@
     return sock
 
 
-def steer(sock: socket.socket, number: int) -> bool:
-    """New connections to the port go to that one of those that listen there, in the order in which they
-    began; whether the kernel takes that. Of a number that is none any more, it shares them out as before."""
-    # One instruction: return the number.
-    program = array("B", struct.pack("HBBI", 0x06, 0, 0, number))
-    place, _ = program.buffer_info()
+def steer_connections(sock: socket.socket, index: int) -> bool:
+    """Direct new connections on a shared port to one listener; returns whether the kernel accepts that.
+
+    `index` counts the listeners in the order in which they began to listen. If there is no listener with that
+    index any more, the kernel distributes connections as before.
+    """
+    # A BPF program of one instruction: return the index.
+    program = array("B", struct.pack("HBBI", 0x06, 0, 0, index))
+    program_address, _ = program.buffer_info()
     try:
-        sock.setsockopt(socket.SOL_SOCKET, _STEER, struct.pack("HP", 1, place))
+        sock.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, program_address))
     except OSError:
         return False
     return True
 
 
-def smooth(sock: socket.socket) -> None:
-    # Messages go out whole: waiting for more to send would only delay their last part.
+def disable_nagle(sock: socket.socket) -> None:
+    # Messages are written as a whole, so Nagle's algorithm would only delay their last part.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def send_all(sock: socket.socket, parts: Sequence[bytes | memoryview]) -> None:
-    """Returns once the last byte is the kernel's; an error means that it is not."""
-    if len(parts) > MOST_PARTS:
-        parts = [b"".join(parts)]  # chunks of a few bytes each
+    """Return once the kernel has taken the last byte; an exception means that it hasn't."""
+    if len(parts) > MAX_SENDMSG_PARTS:
+        parts = [b"".join(parts)]  # for example chunks of a few bytes each
     left = [memoryview(part) for part in parts if len(part)]
     while left:
         sent = sock.sendmsg(left)
@@ -72,17 +75,19 @@
             left[0] = left[0][sent:]
 
 
-def abandon(sock: socket.socket) -> None:
-    """Ends a connection with a reset, so that the kernel drops what has been written and has not arrived.
-    After an end in order it would send that again until it arrives, once a link that was down is up: work
-    begun for nobody, or beside its second copy."""
+def reset_connection(sock: socket.socket) -> None:
+    """Close a connection with a reset, so that the kernel discards data that has not been delivered.
+
+    After a normal close it would go on retransmitting, and deliver the request once a link that was down is
+    up again: the work would run for nobody, or in addition to its retry.
+    """
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-def wait_for(event: Event, sock: socket.socket, seconds: float | None) -> None:
-    """Until the event is set, the socket has something to read or the time is over."""
+def wait_readable(event: Event, sock: socket.socket, seconds: float | None) -> None:
+    """Wait until the event is set, the socket is readable (which sets the event) or time is up."""
     watcher = get_hub().loop.io(sock.fileno(), 1)
     watcher.start(event.set)
     try:
@@ -92,10 +97,10 @@
         watcher.close()
 
 
-def peek(sock: socket.socket) -> bytes | None:
-    """The next byte, nothing at an end or a break, None while nothing has come."""
+def peek_byte(sock: socket.socket) -> bytes | None:
+    """The next byte, empty if the connection has ended or is broken, None if nothing has arrived."""
     try:
-        # The socket below is never a blocking one; asked through gevent it would wait.
+        # Use the underlying non-blocking socket: the gevent one would wait.
         return sock._sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return None
@@ -103,13 +108,15 @@
         return b""
 
 
-def hung_up(sock: socket.socket) -> bool:
-    """Whether the peer has ended its sending, or the connection has: also behind bytes that nobody has read,
-    where `peek` does not see that far."""
-    seen = peek(sock)
+def peer_closed(sock: socket.socket) -> bool:
+    """Whether the peer has closed its sending side or the connection is broken.
+
+    Also detects a close behind unread bytes, which `peek_byte` can't see.
+    """
+    seen = peek_byte(sock)
     if not seen:
         return seen is not None
-    watch = select.poll()
-    watch.register(sock.fileno(), select.POLLRDHUP)
-    ends = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-    return any(events & ends for _, events in watch.poll(0))
+    poll = select.poll()
+    poll.register(sock.fileno(), select.POLLRDHUP)
+    close_events = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+    return any(events & close_events for _, events in poll.poll(0))
