--- a/src/nettledeal/dataplane/known_backends.py
+++ b/src/nettledeal/dataplane/known_backends.py
@@ -43,11 +43,11 @@
         """Apply the whole catalogue and return its backends as of now."""
         received: dict[str, _ReceivedEntry] = {}
         for backend_id, value in entries.items():
-            held = self._received.get(backend_id)
-            if held is None or held.value != value:
-                held = _decode(value, now)
-            if held is not None:
-                received[backend_id] = held
+            known = self._received.get(backend_id)
+            if known is None or known.value != value:
+                known = _decode(value, now)
+            if known is not None:
+                received[backend_id] = known
         self._received = received
         return self.as_of(now)
 
@@ -57,8 +57,8 @@
         removed: list[str] = []
         for backend_id in keys:
             value = entries.get(backend_id)
-            held = self._received.get(backend_id)
-            if held is not None and held.value == value:
+            known = self._received.get(backend_id)
+            if known is not None and known.value == value:
                 continue
             entry = None if value is None else _decode(value, now)
             if entry is not None:
--- a/src/nettledeal/dataplane/selection/placement.py
+++ b/src/nettledeal/dataplane/selection/placement.py
@@ -1,10 +1,11 @@
 """Chooses among the usable backends by queue length, distance and prompt.
 
-Requests stay in the home region while the mean remembered queue of its backends is under a learned threshold;
-above it, a random choice weighted by remembered queues may send them to other regions, but never outside a
-route's home regions. For model backends, requests with equal shared prefixes go to the same backend, found by
-rendezvous hashing on every agent, unless that backend is crowded or opening a connection to it costs more
-than reading the prefix again. Long and short prompts go to different backends of a region that has both.
+The basic algorithm is FEO, as in the design: requests stay in the home region while the mean remembered queue
+of its backends is under a learned threshold; above it, a random choice weighted by remembered queues may send
+them to other regions, but never outside a route's home regions. For model backends, requests with equal
+shared prefixes go to the same backend, found by rendezvous hashing on every agent, unless that backend is
+crowded or opening a connection to it costs more than reading the prefix again. Long and short prompts go to
+different backends of a region that has both.
 """
 
 from __future__ import annotations
@@ -193,6 +194,8 @@
                 queue += self.tuning.other_zone_queue_penalty
             if not self.has_idle_connection(record.backend.id, now):
                 queue += self.tuning.new_connection_queue_penalty
-            health = (1.0 - record.health.failure_probability(now)) ** self.tuning.failure_weight_exponent
-            weights.append(health * (1.0 + queue) ** -self.tuning.queue_weight_exponent)
+            health_weight = (
+                1.0 - record.health.failure_probability(now)
+            ) ** self.tuning.failure_weight_exponent
+            weights.append(health_weight * (1.0 + queue) ** -self.tuning.queue_weight_exponent)
         return self.random.choices(group, weights)[0]
--- a/src/nettledeal/dataplane/selection/selector.py
+++ b/src/nettledeal/dataplane/selection/selector.py
@@ -48,10 +48,10 @@
         return not call.home_regions or self.placement.region_of(record) in call.home_regions
 
     def _is_usable(self, record: BackendRecord, state: ServiceState, now: float) -> bool:
-        health = record.health.state(now)
-        if health in (HealthState.EJECTED, HealthState.UNREACHABLE) or record.is_silent(now):
+        health_state = record.health.state(now)
+        if health_state in (HealthState.EJECTED, HealthState.UNREACHABLE) or record.is_silent(now):
             return False
-        if health is HealthState.PROBING and record.outstanding > 0:
+        if health_state is HealthState.PROBING and record.outstanding > 0:
             return False
         return self._within_warmup_limit(record, state, now)
 
