--- a/src/nettledeal/dataplane/ingress.py
+++ b/src/nettledeal/dataplane/ingress.py
@@ -20,10 +20,10 @@
 from nettledeal.dataplane.response_heads import agent_response
 from nettledeal.dataplane.response_relay import ClientDisconnected
 from nettledeal.dataplane.routing_table import RouteTarget, RoutingTable
-from nettledeal.net.protocol.framing import Malformed
+from nettledeal.net.protocol.framing import MalformedMessage
 from nettledeal.net.transport.buffers import MemoryPool, OutOfMemory, ReadBuffer
-from nettledeal.net.transport.hang_ups import HangUps
-from nettledeal.net.transport.sockets import hung_up, peek, send_all
+from nettledeal.net.transport.peer_close_watcher import PeerCloseWatcher
+from nettledeal.net.transport.sockets import peek_byte, peer_closed, send_all
 from nettledeal.operator_api.configuration import ClientLimits
 
 MS_PER_S = 1000.0
@@ -73,7 +73,7 @@
         self.has_catalogue = False
         self.started_at = time.monotonic()
         self.last_accepted_at = 0.0
-        self.hang_ups = HangUps()
+        self.peer_close_watcher = PeerCloseWatcher()
         self._can_serve_event = Event()
         self._listener: socket.socket | None = None
         self._accept_loop: gevent.Greenlet | None = None
@@ -202,7 +202,7 @@
         self._on_disconnect = None
         if self._watcher is not None:
             self._watcher.stop()
-            self.ingress.hang_ups.unwatch(self.sock.fileno())
+            self.ingress.peer_close_watcher.unwatch(self.sock.fileno())
 
     def close_if_idle(self) -> bool:
         """Close the connection unless it has a request; returns whether it was closed."""
@@ -212,14 +212,14 @@
         return True
 
     def _readable(self) -> None:
-        seen = peek(self.sock)
+        seen = peek_byte(self.sock)
         if seen is None:
             return
         self._watcher.stop()
         if seen:
             # Pipelined requests stay unread; the client may still disconnect behind them.
             self._pipelined_unread = True
-            self.ingress.hang_ups.watch(self.sock.fileno(), self._client_disconnected)
+            self.ingress.peer_close_watcher.watch(self.sock.fileno(), self._client_disconnected)
         else:
             self._client_disconnected()
 
@@ -240,7 +240,7 @@
             return self._read_request(self.ingress.limits)
         except TimeoutError:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
-        except Malformed as error:
+        except MalformedMessage as error:
             self._reject(error.status)
         except OutOfMemory:
             self._reject(HTTPStatus.SERVICE_UNAVAILABLE, MEMORY_RETRY_S)
@@ -248,7 +248,7 @@
 
     def _read_request(self, limits: RequestLimits) -> ClientRequest | None:
         read_buffer = self.read_buffer
-        read_buffer.most = limits.header_bytes + limits.body_bytes + len(read_buffer.buffer)
+        read_buffer.max_bytes = limits.header_bytes + limits.body_bytes + len(read_buffer.buffer)
         request = ClientRequest(limits.header_bytes, limits.body_bytes)
         request.received_at = time.monotonic()
         self.sock.settimeout(limits.header_timeout_s)
@@ -256,11 +256,11 @@
         while used is None:
             if request.expects_continue:
                 self._send_continue_once(request)
-            if not read_buffer.read(self.sock, request.message.whole, request.message.kept):
+            if not read_buffer.read(self.sock, request.message.total_bytes, request.message.retained_bytes):
                 return None
             used = request.read(read_buffer.buffer, read_buffer.filled)
         request.validate()
-        read_buffer.next(used)
+        read_buffer.start_next_message(used)
         return request
 
     def _wait_for_request(self) -> bool:
@@ -288,7 +288,7 @@
         self.closing = self.closing or self.ingress.draining or not request.keeps_connection
         waited = self.pipelined or not self.ingress.can_serve
         can_serve = self.ingress.wait_until_can_serve(self._max_start_wait_s(request))
-        if waited and hung_up(self.sock):
+        if waited and peer_closed(self.sock):
             raise ClientDisconnected
         table = self.ingress.table
         if not table.configured:
--- a/src/nettledeal/dataplane/response_relay.py
+++ b/src/nettledeal/dataplane/response_relay.py
@@ -8,7 +8,7 @@
 from nettledeal.dataplane.backend_response import BackendResponse
 from nettledeal.dataplane.event_stream import EventSplitter
 from nettledeal.dataplane.response_heads import agent_response, relayed_response_head
-from nettledeal.net.protocol.bodies import LAST_CHUNK, chunk
+from nettledeal.net.protocol.bodies import LAST_CHUNK, encode_chunk
 
 
 class ClientDisconnected(Exception):
@@ -82,7 +82,7 @@
         self.started = True
         parts: list[bytes | memoryview] = [head]
         while pieces := response.read_pieces():
-            self.client.send(parts + (chunk(pieces) if chunked else pieces))
+            self.client.send(parts + (encode_chunk(pieces) if chunked else pieces))
             parts = []
         self.client.send(parts + ([LAST_CHUNK] if chunked else []))
 
@@ -98,11 +98,11 @@
         while pieces := response.read_pieces():
             if passed := self._whole_events(pieces):
                 self.started = True
-                self.client.send(parts + chunk(passed))
+                self.client.send(parts + encode_chunk(passed))
                 parts = []
         rest = self.events.take_partial() if self.events is not None else b""
         self.started = True
-        self.client.send(parts + (chunk([rest]) if rest else []) + [LAST_CHUNK])
+        self.client.send(parts + (encode_chunk([rest]) if rest else []) + [LAST_CHUNK])
 
     def _whole_events(self, pieces: list[bytes]) -> list[bytes]:
         if self.events is None:
--- a/tests/system/test_dataplane_client_leaves.py
+++ b/tests/system/test_dataplane_client_leaves.py
@@ -16,7 +16,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from nettledeal.net.transport.hang_ups import HangUps
+from nettledeal.net.transport.peer_close_watcher import PeerCloseWatcher
 from tests.system.dataplane_rig import (
     Client,
     FakeBackend,
@@ -74,7 +74,7 @@
                 return  # an idle connection that was closed
             self.state_reached.set()
             # Nothing is read from the kernel buffer until the peer has disconnected.
-            watched, ended = HangUps(), Event()
+            watched, ended = PeerCloseWatcher(), Event()
             watched.watch(sock.fileno(), ended.set)
             if ended.wait(WAIT_S):
                 self._record_disconnect()
@@ -207,14 +207,14 @@
         assert rig.backends[0].requests == []
 
 
-@pytest.mark.parametrize("fault", ["watch", "hung_up"])
+@pytest.mark.parametrize("fault", ["watch", "peer_closed"])
 def test_a_missing_disconnect_check_behind_unread_bytes_is_detected(monkeypatch, fault):
     if fault == "watch":
-        monkeypatch.setattr(HangUps, "watch", lambda *_: None)
+        monkeypatch.setattr(PeerCloseWatcher, "watch", lambda *_: None)
         with pytest.raises(AssertionError):
             test_a_client_disconnect_is_noticed(WAIT_STATES["the response head"], 1, "end")
     else:
-        monkeypatch.setattr("nettledeal.dataplane.ingress.hung_up", lambda sock: False)
+        monkeypatch.setattr("nettledeal.dataplane.ingress.peer_closed", lambda sock: False)
         with pytest.raises(AssertionError):
             test_a_client_that_disconnects_during_startup_is_not_served()
 
@@ -226,4 +226,4 @@
         for number in range(3):
             client.send(Request_Id=f"r{number}")
         assert [client.receive()[0] for _ in range(3)] == [200, 200, 200]
-        assert rig.plane.ingress.hang_ups._ended == {}
+        assert rig.plane.ingress.peer_close_watcher._callbacks == {}
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -6,14 +6,14 @@
 import pytest
 from helpers import Drive, answers, hand_offs, settings, until
 from test_program import TOLD, changed
-from test_router import Desk
+from test_router import RouterRig
 
 from nettledeal.configuration import check
 from nettledeal.configuration_change import check_replacement
 from nettledeal.configuration_files import ConfigError
 from nettledeal.model import Outcome, Verdict
 from nettledeal.net.protocol.backend import Reply
-from nettledeal.net.routing.intake import BEHIND
+from nettledeal.net.routing.request_admission import RETIRED_CATEGORY_TENTHS
 
 FORCE = json.loads(json.dumps(TOLD))
 FORCE["settings"]["allowed"]["most_hand_offs"] = 3
@@ -190,22 +190,24 @@
 
 
 def test_the_owner_takes_new_names_at_once_and_old_ones_for_a_while():
-    desk = Desk()
-    desk.router.retune(BOTH, {}, {"read": 100, "write": 200}, 100)
-    desk.router.retune(named(("add", "rerunnable"), ("read", "exclusive")), {}, {"add": 300, "read": 100}, 50)
-    assert desk.router.intake.most == 50
-    pending, _ = desk.take("add")
-    desk.out().done(Reply(Outcome.FINISHED, report={}))
-    assert desk.answered(pending) is HTTPStatus.OK
-    pending, id = desk.take("write")
+    rig = RouterRig()
+    rig.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    rig.router.update_settings(
+        named(("add", "rerunnable"), ("read", "exclusive")), {}, {"add": 300, "read": 100}, 50
+    )
+    assert rig.router.admission.max_open == 50
+    pending, _ = rig.submit("add")
+    rig.nth_exchange().on_reply(Reply(Outcome.FINISHED, report={}))
+    assert rig.status_of(pending) is HTTPStatus.OK
+    pending, id = rig.submit("write")
     assert id and pending.status is None
-    assert 0 < desk.router.intake.retired["write"] - desk.clock.now() <= BEHIND
-    desk.router.intake.retired["write"] = desk.clock.now() - 1
-    pending, id = desk.take("write")
+    assert 0 < rig.router.admission.retired_until["write"] - rig.clock.now() <= RETIRED_CATEGORY_TENTHS
+    rig.router.admission.retired_until["write"] = rig.clock.now() - 1
+    pending, id = rig.submit("write")
     assert (pending.status, id) == (HTTPStatus.BAD_REQUEST, None)
-    assert desk.take("read")[1]
+    assert rig.submit("read")[1]
     # Its first word counts, however often the settings change meanwhile.
-    desk.router.retune(named(("add", "rerunnable")), {}, {"add": 300}, 50)
-    assert desk.take("write")[0].status is HTTPStatus.BAD_REQUEST
-    desk.router.retune(BOTH, {}, {"read": 100, "write": 200}, 100)
-    assert desk.take("write")[1] and until(lambda: not desk.router.waiting)
+    rig.router.update_settings(named(("add", "rerunnable")), {}, {"add": 300}, 50)
+    assert rig.submit("write")[0].status is HTTPStatus.BAD_REQUEST
+    rig.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
+    assert rig.submit("write")[1] and until(lambda: not rig.router.queued)
