--- a/tests/system/test_processor_quotas.py
+++ b/tests/system/test_processor_quotas.py
@@ -1,8 +1,8 @@
 """Machines with a CPU quota: full speed until it is spent, then stopped for the rest of each 0.1 s.
 
 Failure detection by silence must not take such a machine for a lost one: membership, the leases of the
-control state, and its in-sync set. (Fault schedules of the control state with quotas: `control_severe_faults`,
-shape six-serving.)
+control state, and its in-sync set. (Fault schedules of the control state with quotas are in
+`control_severe_faults`, shape six-serving.)
 """
 
 from __future__ import annotations
