--- a/tests/system/control_rehearsal.py
+++ b/tests/system/control_rehearsal.py
@@ -76,11 +76,11 @@
     disk: Disk
     replica: Replica | None = None
     incarnation: int = 0
-    synced: int = 0
+    synced_write: int = 0
     waiting_sends: list = field(default_factory=list)
     paused: bool = False
     deferred: list = field(default_factory=list)
-    timer: float = float("inf")
+    timer_due_at: float = float("inf")
     removed: bool = False
     leaving_for_good: bool = False
     clock_offset_s: float = 0.0
@@ -171,9 +171,9 @@
         if machine.replica is not None or machine.removed:
             return
         machine.incarnation += 1
-        machine.synced, machine.waiting_sends, machine.deferred, machine.paused = 0, [], [], False
+        machine.synced_write, machine.waiting_sends, machine.deferred, machine.paused = 0, [], [], False
         machine.disk.busy = False
-        machine.timer = float("inf")
+        machine.timer_due_at = float("inf")
         info = ReplicaInfo(machine.identity, machine.host, machine.zone, "r", f"{machine.host}:1")
         machine.replica = self.replica_type(
             info,
@@ -270,7 +270,7 @@
                 return record
         return None
 
-    def listed(self) -> list[str]:
+    def listed_seeds(self) -> list[str]:
         """Hosts that the platform's settings currently name as seeds."""
         return [host for host, machine in self.machines.items() if not machine.removed][-3:]
 
@@ -281,7 +281,7 @@
         if not machine.paused:
             record = machine.replica.record
             hosts = {voter.host for voter in record.voters} if record else set()
-            hosts |= set(self.listed())
+            hosts |= set(self.listed_seeds())
             hosts |= {info.host for info in machine.replica.known_replicas.values()}
             for host in sorted(hosts - {machine.host}):
                 self._send_hello(machine, host)
@@ -313,7 +313,7 @@
             machine.disk.unsynced.append((number, write))
         self._start_sync(machine)
         for send in effects.sends:
-            if send.after_write <= machine.synced:
+            if send.after_write <= machine.synced_write:
                 self._transmit(machine, send.host, send.message)
             else:
                 machine.waiting_sends.append(send)
@@ -321,17 +321,17 @@
             self.pending_calls.pop(answer.call_id, lambda _: None)(answer.result)
         self._check_invariants(machine)
         due = max(self.now + replica.next_tick_at - self.clock(machine), self.now + MIN_TIMER_DELAY_S)
-        if due < machine.timer:
-            machine.timer = due
+        if due < machine.timer_due_at:
+            machine.timer_due_at = due
             self.at(due, self._on_timer, machine, machine.incarnation, due)
 
     def _on_timer(self, machine: Machine, incarnation: int, due: float) -> None:
-        if machine.replica is None or machine.incarnation != incarnation or machine.timer != due:
+        if machine.replica is None or machine.incarnation != incarnation or machine.timer_due_at != due:
             return
         if machine.paused:
             machine.deferred.append((self._on_timer, (machine, incarnation, due)))
             return
-        machine.timer = float("inf")
+        machine.timer_due_at = float("inf")
         machine.replica.tick(self.clock(machine))
         self.run_effects(machine)
 
@@ -354,13 +354,15 @@
         disk = machine.disk
         disk.busy = False
         for _ in range(count):
-            machine.synced, write = disk.unsynced.popleft()
+            machine.synced_write, write = disk.unsynced.popleft()
             disk.durable = apply_write(disk.durable, write)
-        ready = [send for send in machine.waiting_sends if send.after_write <= machine.synced]
-        machine.waiting_sends = [send for send in machine.waiting_sends if send.after_write > machine.synced]
+        ready = [send for send in machine.waiting_sends if send.after_write <= machine.synced_write]
+        machine.waiting_sends = [
+            send for send in machine.waiting_sends if send.after_write > machine.synced_write
+        ]
         for send in ready:
             self._transmit(machine, send.host, send.message)
-        machine.replica.on_synced(self.clock(machine), machine.synced)
+        machine.replica.on_synced(self.clock(machine), machine.synced_write)
         self.run_effects(machine)
 
     def _transmit(self, machine: Machine, host: str, message: Message) -> None:
