--- a/src/nettledeal/net/protocol/backend.py
+++ b/src/nettledeal/net/protocol/backend.py
@@ -1,4 +1,4 @@
-"""HTTP on the backend side: encodes hand-offs and probes, parses responses."""
+"""HTTP on the backend side: encodes attempts and probes, parses responses."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """The result of a hand-off or a probe; everything but the outcome is empty if no response came."""
+    """The result of an attempt or a probe; everything but the outcome is empty if no response came."""
 
     outcome: Outcome
     body: memoryview | bytes = b""
@@ -142,7 +142,7 @@
         return Reply(outcome, message.body, report=parse_load_report(message.headers.get(b"x-server-load")))
 
 
-def encode_hand_off(request: ClientRequest, timeout: Time) -> list[bytes | memoryview]:
+def encode_attempt(request: ClientRequest, timeout: Time) -> list[bytes | memoryview]:
     """Encode a request for a backend: the head, and the body as far as it has arrived."""
     head = b"%b %b HTTP/1.1\r\n%bX-Timeout-Ms: %d\r\n" % (
         request.method,
--- a/src/nettledeal/net/routing/actions.py
+++ b/src/nettledeal/net/routing/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the balancer's decisions for open requests: hand-offs, answers, cancellations and probes."""
+"""Carries out the balancer's decisions for open requests: attempts, answers, cancellations and probes."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 
     request: ClientRequest
     pending: PendingAnswer
-    exchanges: dict[int, Exchange] = field(default_factory=dict)  # in flight, by hand-off number
+    exchanges: dict[int, Exchange] = field(default_factory=dict)  # in flight, by attempt number
 
 
 class ExchangeEvents(Protocol):
-    """Receives the results of hand-offs and probes."""
+    """Receives the results of attempts and probes."""
 
-    def hand_off_ended(self, id: int, number: int, reply: Reply) -> None: ...
+    def attempt_ended(self, id: int, number: int, reply: Reply) -> None: ...
 
     def probe_ended(self, backend: str, reply: Reply) -> None: ...
 
@@ -76,20 +76,20 @@
         self.open_requests: dict[int, OpenRequest] = {}
 
     def carry_out(self, actions: Iterable[Action], decided_at: Time) -> None:
-        """Carry out `acts` in order. `decided_at` is the time that the balancer used for the decision."""
+        """Carry out `actions` in order. `decided_at` is the time that the balancer used for the decision."""
         for action in actions:
             try:
                 self._execute(action, decided_at)
             except Exception:
-                # The remaining acts concern other work items, so go on with them.
+                # The remaining actions concern other work items, so go on with them.
                 self.counters.record_exception(type(action).__name__)
                 if isinstance(action, SendAttempt):
-                    self.events.hand_off_ended(action.work_item, action.number, Reply(Outcome.UNSENT))
+                    self.events.attempt_ended(action.work_item, action.number, Reply(Outcome.UNSENT))
 
     def _execute(self, action: Action, decided_at: Time) -> None:
         match action:
             case SendAttempt():
-                self._send_hand_off(action, decided_at)
+                self._send_attempt(action, decided_at)
             case Answer(id, verdict, retry_after):
                 self._send_answer(id, verdict, retry_after)
             case CancelAttempt(id, number):
@@ -101,14 +101,14 @@
             case SubscribeToList():
                 self.subscribe()
 
-    def _send_hand_off(self, action: SendAttempt, decided_at: Time) -> None:
+    def _send_attempt(self, action: SendAttempt, decided_at: Time) -> None:
         open_request = self.open_requests.get(action.work_item)
         self.counters.check_invariant(
             open_request is not None, "a hand-off belongs to a work item not yet answered"
         )
 
         def on_reply(reply: Reply) -> None:
-            self.events.hand_off_ended(action.work_item, action.number, reply)
+            self.events.attempt_ended(action.work_item, action.number, reply)
 
         if open_request is None or not open_request.pending.is_wanted:
             # The client has disconnected, but that event is still queued: don't start work for it.
@@ -136,7 +136,7 @@
                 1, open_request.pending.deadline - decided_at - MAX_UPLOAD_TENTHS - 2 * TRANSIT_MARGIN_TENTHS
             )
         exchange = Exchange(
-            backend_protocol.encode_hand_off(request, timeout), decided_at + action.timeout, on_reply
+            backend_protocol.encode_attempt(request, timeout), decided_at + action.timeout, on_reply
         )
         exchange.begin_by = action.begin_by
         exchange.bodiless = request.method == b"HEAD"
--- a/src/nettledeal/net/routing/router.py
+++ b/src/nettledeal/net/routing/router.py
@@ -64,7 +64,7 @@
         self.submitted = 0  # work items so far; the last one's id
         self.queued = 0  # submitted work items that are still in the queue
         self.wake_at: Time | None = None
-        self.last_told: Time = 0  # the last time passed to the balancer
+        self.balancer_time: Time = 0  # the last one passed to the balancer; never goes back
         self.lag: Time = 0  # recent lag of the event loop, decaying
 
     @property
@@ -103,8 +103,8 @@
     def discovery_lost(self) -> None:
         self.queue.put((self._on_discovery_lost, ()))
 
-    def hand_off_ended(self, id: int, number: int, reply: Reply) -> None:
-        self.queue.put((self._on_hand_off_ended, (id, number, reply)))
+    def attempt_ended(self, id: int, number: int, reply: Reply) -> None:
+        self.queue.put((self._on_attempt_ended, (id, number, reply)))
 
     def probe_ended(self, backend: str, reply: Reply) -> None:
         self.queue.put((self._on_probe_ended, (backend, reply)))
@@ -174,15 +174,15 @@
                 self._fail_work_item(call, arguments)
 
     def _now(self) -> Time:
-        self.last_told = max(self.last_told, self.clock.now())
-        return self.last_told
+        self.balancer_time = max(self.balancer_time, self.clock.now())
+        return self.balancer_time
 
     def _record_lag(self, until: Time) -> None:
         self.lag = max(self.clock.now() - until, self.lag * 3 // 4)
 
     def _fail_work_item(self, call: Callable, arguments: tuple) -> None:
         """Answer a work item whose event raised an exception: nothing else would answer it."""
-        id = arguments[0] if call in (self._on_submit, self._on_hand_off_ended) else None
+        id = arguments[0] if call in (self._on_submit, self._on_attempt_ended) else None
         open_request = self.open_requests.get(id)
         if open_request is not None:
             # It may have run on a backend, so this must not be 503.
@@ -206,11 +206,11 @@
         self.open_requests[id] = OpenRequest(request, pending)
         # Use the time of reading: the balancer tells first tries from repeats by how long the client waits,
         # and the time spent in the queue would blur that.
-        self.last_told = max(self.last_told, received_at)
+        self.balancer_time = max(self.balancer_time, received_at)
         category = self.admission.category_number(request)
         self._carry_out(
             self.balancer.submit(
-                self.last_told,
+                self.balancer_time,
                 id,
                 category,
                 max(received_at + 1, expiry),
@@ -227,7 +227,7 @@
             self.actions.close(id)
             self._withdraw(id)
 
-    def _on_hand_off_ended(self, id: int, number: int, reply: Reply) -> None:
+    def _on_attempt_ended(self, id: int, number: int, reply: Reply) -> None:
         open_request = self.open_requests.get(id)
         if open_request is not None:
             open_request.exchanges.pop(number, None)
@@ -275,7 +275,7 @@
     ) -> None:
         before = dependencies(self.balancer.state.settings)
         self._carry_out(self.balancer.apply_settings(self._now(), settings))
-        for part in reset_changed(self.balancer, before, self.last_told):
+        for part in reset_changed(self.balancer, before, self.balancer_time):
             self.counters[f"begun afresh: {part}"] += 1
         state = self.balancer.state
         names = [category.name for category in state.categories]
@@ -286,7 +286,7 @@
     def _sync_pool(self, backend: str) -> None:
         """Keep a connection pool only for a backend that is listed as running and not cordoned.
 
-        Without a pool nothing new is sent to it, and hand-offs not written yet end as unsent.
+        Without a pool nothing new is sent to it, and attempts not written yet end as unsent.
         """
         if backend in self.addresses and backend not in self.balancer.state.cordoned:
             self.pools.set_address(backend, self.addresses[backend])
@@ -318,4 +318,4 @@
     def _carry_out(self, step: Step) -> None:
         if step.wake_at is not None and (self.wake_at is None or step.wake_at < self.wake_at):
             self.wake_at = step.wake_at
-        self.actions.carry_out(step.actions, self.last_told)
+        self.actions.carry_out(step.actions, self.balancer_time)
--- a/src/nettledeal/net/transport/backend_connection.py
+++ b/src/nettledeal/net/transport/backend_connection.py
@@ -104,7 +104,7 @@
                 try:
                     reply, keep = self._perform(self.exchange)
                 except Exception:
-                    # Whoever waits for this hand-off must be notified in any case.
+                    # Whoever waits for this exchange must be notified in any case.
                     self.pool.counters.record_exception(f"hand-off to {format_address(self.pool.address)}")
                     reply = self._failed_reply(self.exchange)
                 # Measured from here to the arrival of the response: time that the request waits inside the
@@ -220,7 +220,7 @@
         return used
 
     def _start_relay(self, answer: ResponseReader, probe: bool) -> Reply:
-        """End the hand-off with the first bytes of a long response and leave the rest to a relay.
+        """End the exchange with the first bytes of a long response and leave the rest to a relay.
 
         The rest of an unsuccessful response is dropped.
         """
--- a/tests/test_backend_pools.py
+++ b/tests/test_backend_pools.py
@@ -241,7 +241,7 @@
 def test_expired_exchange_is_not_sent_and_opens_no_connection():
     far = Far(replies(served(b"42")))
     rig = PoolRig(far.address)
-    # An agent short of CPU may get to a hand-off after its deadline: it would be started for nobody.
+    # An agent short of CPU may get to an exchange after its deadline: it would be started for nobody.
     assert rig.send(wait=0).outcome is Outcome.UNSENT
     assert not far.peers
     assert rig.send().outcome is Outcome.FINISHED
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -74,10 +74,10 @@
     assert read(b"\r\n\r\n" + HEAD + b"\r\n").forwarded_headers == HEAD.partition(b"\r\n")[2]
 
 
-def test_hand_off_is_forwarded_unchanged():
+def test_request_is_forwarded_unchanged():
     more = b"Route: 7\r\nAccept: a\r\nAccept: b\r\nConnection: x-hop\r\nX-Hop: 1\r\nTE: x\r\n"
     request = read(HEAD + more + b"X-Timeout-Ms: 900\r\n" + b"Content-Length: 4\r\n\r\nbody")
-    text = b"".join(backend.encode_hand_off(request, 4567))
+    text = b"".join(backend.encode_attempt(request, 4567))
     assert text.startswith(b"POST /api?x=1 HTTP/1.1\r\n")
     # End-to-end headers are forwarded unchanged, hop-by-hop headers are not.
     for line in (b"Host: s", b"X-Request-ID: r1", b"Route: 7", b"Accept: a", b"Accept: b"):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -270,7 +270,7 @@
 
     agent = Agent(Far(long_answer))
     client = agent.connect().send(ask())
-    # Only after the hand-off was sent: nothing is sent for a client that has already disconnected.
+    # Only after the attempt was sent: nothing is sent for a client that has already disconnected.
     assert until(lambda: asked)
     client.sock.close()
     assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -137,7 +137,7 @@
     pending, id = rig.submit()
     exchange = rig.nth_exchange()
     rig.router.client_left(id)
-    # Also if recalls are not allowed: an exchange that is still unsent must not be sent for nobody.
+    # Also if cancelling is not allowed: an exchange that is still unsent must not be sent for nobody.
     assert until(lambda: exchange.cancelled)
     exchange.on_reply(Reply(Outcome.RESET))
     gevent.sleep(0.01)
@@ -357,7 +357,7 @@
     assert not rig.router.commands
 
 
-def test_unwritten_hand_off_to_a_cordoned_backend_goes_elsewhere():
+def test_unwritten_attempt_at_a_cordoned_backend_goes_elsewhere():
     rig = RouterRig()
     pending, _ = rig.submit("write")
     first = rig.nth_exchange()
