--- a/src/nettledeal/dataplane/event_stream.py
+++ b/src/nettledeal/dataplane/event_stream.py
@@ -19,10 +19,10 @@
         end = self.partial.rfind(_END)
         if end < 0:
             return b""
-        whole = self.partial[: end + len(_END)]
+        complete = self.partial[: end + len(_END)]
         self.partial = self.partial[end + len(_END) :]
-        self._update_last_id(whole)
-        return whole
+        self._update_last_id(complete)
+        return complete
 
     def take_partial(self) -> bytes:
         """The data after the last complete event: part of the body if the stream ended normally, to be
@@ -30,12 +30,12 @@
         rest, self.partial = self.partial, b""
         return rest
 
-    def _update_last_id(self, whole: bytes) -> None:
-        at = whole.rfind(b"\n" + _ID)
+    def _update_last_id(self, complete: bytes) -> None:
+        at = complete.rfind(b"\n" + _ID)
         if at >= 0:
             at += 1
-        elif whole.startswith(_ID):
+        elif complete.startswith(_ID):
             at = 0
         else:
             return
-        self.last_id = whole[at + len(_ID) : whole.index(b"\n", at)].strip()
+        self.last_id = complete[at + len(_ID) : complete.index(b"\n", at)].strip()
--- a/src/nettledeal/dataplane/readiness.py
+++ b/src/nettledeal/dataplane/readiness.py
@@ -26,17 +26,17 @@
         self.is_ready = is_ready
         self.tenants_page = tenants_page
         self._listener: socket.socket | None = None
-        self._accepting: gevent.Greenlet | None = None
+        self._accept_loop: gevent.Greenlet | None = None
 
     def start(self, address: Address) -> None:
         """Raises OSError."""
         self._listener = listening_socket(address)
-        self._accepting = gevent.spawn(self._accept, self._listener)
+        self._accept_loop = gevent.spawn(self._accept, self._listener)
 
     def stop(self) -> None:
         """Close the listener."""
-        if self._accepting is not None:
-            self._accepting.kill()
+        if self._accept_loop is not None:
+            self._accept_loop.kill()
         if self._listener is not None:
             self._listener.close()
 
--- a/src/nettledeal/dataplane/response_relay.py
+++ b/src/nettledeal/dataplane/response_relay.py
@@ -62,12 +62,12 @@
         if response.is_event_stream:
             self._relay_stream(response)
         elif response.is_buffered:
-            self._relay_whole(response)
+            self._relay_buffered(response)
         else:
             self._relay_pieces(response)
         self.complete = True
 
-    def _relay_whole(self, response: BackendResponse) -> None:
+    def _relay_buffered(self, response: BackendResponse) -> None:
         body = response.read_body()
         length = response.declared_length if response.bodiless else len(body)
         head = relayed_response_head(response.status, response.head_fields(), length, self.client.closing)
@@ -96,16 +96,16 @@
                 relayed_response_head(response.status, response.head_fields(), None, self.client.closing)
             ]
         while pieces := response.read_pieces():
-            if passed := self._whole_events(pieces):
+            if complete := self._complete_events(pieces):
                 self.started = True
-                self.client.send(parts + encode_chunk(passed))
+                self.client.send(parts + encode_chunk(complete))
                 parts = []
         rest = self.events.take_partial() if self.events is not None else b""
         self.started = True
         self.client.send(parts + (encode_chunk([rest]) if rest else []) + [LAST_CHUNK])
 
-    def _whole_events(self, pieces: list[bytes]) -> list[bytes]:
+    def _complete_events(self, pieces: list[bytes]) -> list[bytes]:
         if self.events is None:
             return pieces
-        whole = self.events.feed(b"".join(pieces))
-        return [whole] if whole else []
+        complete = self.events.feed(b"".join(pieces))
+        return [complete] if complete else []
--- a/tests/system/dataplane_rig.py
+++ b/tests/system/dataplane_rig.py
@@ -180,7 +180,7 @@
         return self.receive()
 
     def is_closed(self) -> bool:
-        """Whether the agent has closed the connection."""
+        """Whether the agent has closed the connection; waits up to 5 s for it."""
         with gevent.Timeout(5):
             return self.stream.read(1) == b""
 
