--- a/src/nettledeal/agent.py
+++ b/src/nettledeal/agent.py
@@ -219,7 +219,7 @@
         log.info("stopping", open=len(self.router.open_requests), heir=heir)
         self.siblings.handover.me.state = LEAVING
         if self.peers is not None:
-            self.peers.end(heir)
+            self.peers.stop(heir)
         end = self.clock.now() + int(
             max(self.router.admission.default_timeouts.values(), default=SECOND) + LINGER * SECOND
         )
