--- a/experiments/ablation.py
+++ b/experiments/ablation.py
@@ -1,12 +1,12 @@
-"""Copies of the serving system with one mechanism switched off, for trials: what is each worth?
+"""Ablation: switches one mechanism of the serving system off in a copy of the sources, to measure its worth.
 
     python3 experiments/ablation.py list
     python3 experiments/ablation.py NAME FOLDER
 
-changes the sources in FOLDER, a scratch copy of the repository, which is then played beside an unchanged
-one, on the same days. A mechanism is switched off by other text for a line of its; `tests/test_ablation.py`
-holds that the line is still there. What guards a rule (the bound for cold backends, budgets, drains) is not
-among them.
+changes the sources in FOLDER, a scratch copy of the repository, which is then run beside an unchanged copy
+on the same simulated days. A mechanism is switched off by replacing source lines; `tests/test_ablation.py`
+checks that these lines still exist. Mechanisms that enforce a rule (the bound for cold backends, budgets,
+drains) are not included.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Switch:
-    """What stands for a mechanism in a file of the package, and what stands there with it off."""
+    """A piece of source text of a mechanism, and its replacement that switches the mechanism off."""
 
     file: str
     on: str
@@ -118,17 +118,17 @@
 
 
 def switch_off(name: str, repository: Path) -> None:
-    """Change the sources below `repository`. Raises ValueError where they are others than expected."""
+    """Changes the sources below `repository`. Raises ValueError if a text to replace is not found once."""
     for switch in SWITCHES[name]:
         path = repository / PACKAGE / switch.file
         text = path.read_text()
         if text.count(switch.on) != 1:
-            raise ValueError(f"{switch.file}: not once there: {switch.on.strip()}")
+            raise ValueError(f"{switch.file}: text not found exactly once: {switch.on.strip()}")
         path.write_text(text.replace(switch.on, switch.off))
 
 
 def main() -> int:
-    """Returns the exit status."""
+    """Returns the exit status of the program."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("name", choices=["list", *SWITCHES])
     parser.add_argument("folder", nargs="?", type=Path)
@@ -137,7 +137,7 @@
         print("\n".join(SWITCHES))
         return 0
     if parsed.folder is None:
-        parser.error("which copy?")
+        parser.error("FOLDER is missing")
     switch_off(parsed.name, parsed.folder)
     return 0
 
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,4 +1,4 @@
-"""Each mechanism that trials can switch off is where the experiment says, and changes the sources."""
+"""Each mechanism of the ablation experiment is found in the sources and switched off by valid Python."""
 
 import ast
 import shutil
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", SWITCHES)
-def test_a_mechanism_is_switched_off_by_other_sources_that_can_be_read(tmp_path, name):
+def test_switching_a_mechanism_off_leaves_valid_sources(tmp_path, name):
     shutil.copytree(ROOT / PACKAGE / "dataplane", tmp_path / PACKAGE / "dataplane")
     switch_off(name, tmp_path)
     for switch in SWITCHES[name]:
@@ -23,8 +23,8 @@
         ast.parse(changed)
 
 
-def test_sources_that_are_others_than_expected_are_left(tmp_path):
+def test_unexpected_sources_are_rejected(tmp_path):
     shutil.copytree(ROOT / PACKAGE / "dataplane", tmp_path / PACKAGE / "dataplane")
     switch_off("sharpness", tmp_path)
-    with pytest.raises(ValueError, match="not once there"):
+    with pytest.raises(ValueError, match="text not found exactly once"):
         switch_off("sharpness", tmp_path)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,7 +9,7 @@
 
 
 def spread(drive, count=60, after=800):
-    """Where one work item after another goes, each answered before the next."""
+    """Counts the backends that get work items, each answered before the next is sent."""
     seen = Counter()
     for _ in range(count):
         actions = drive.take()
@@ -19,14 +19,14 @@
     return seen
 
 
-def test_home_while_its_queues_are_short():
+def test_stays_home_while_home_queues_are_short():
     assert set(spread(Drive())) <= {"b0", "b1", "b2"}
 
 
 @pytest.mark.parametrize(
     ("home", "away", "goes"), [(9, 0, {"b2", "b3"}), (9, 30, {"b0", "b1"}), (0, 0, {"b0", "b1"})]
 )
-def test_overflow_only_when_home_is_long_and_peers_are_shorter(home, away, goes):
+def test_overflows_only_when_home_queues_are_long_and_others_shorter(home, away, goes):
     drive = Drive(fleet((0, 0, 1, 1)))
     for n, queue in enumerate((home, home, away, away)):
         for _ in range(12):
@@ -35,7 +35,7 @@
     assert attempt.backend in goes
 
 
-def test_declined_offload_goes_home_once():
+def test_rejected_cross_zone_attempt_returns_home_once():
     drive = Drive(fleet((0, 1)))
     for _ in range(12):
         drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 9})
@@ -45,7 +45,7 @@
     assert attempt.backend == "b0"
 
 
-def test_full_pins_the_memory_until_the_next_report():
+def test_rejection_pins_the_queue_estimate_until_the_next_report():
     drive = Drive(fleet((0, 0)))
     (attempt,) = attempts(drive.take())
     drive.back(attempt, Outcome.FULL, after=20)
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("report", [{}, {"utilization": 0.8, "throughput": 9.0}])
-def test_where_no_report_tells_of_queues_an_answer_ends_the_pin(report):
+def test_without_queues_in_reports_an_answer_ends_the_pin(report):
     drive = Drive(fleet((0, 0)))
     (attempt,) = attempts(drive.take())
     (second,) = attempts(drive.back(attempt, Outcome.FULL, after=20))
@@ -67,11 +67,11 @@
     for _ in range(200):
         (attempt,) = attempts(drive.take())
         drive.back(attempt, report=report)
-    # It counted each of them as waiting there for good.
+    # Each of them used to stay in the pinned queue for good.
     assert backend.pinned_queue is None and loads.queue(backend, drive.now) == 0.0
 
 
-def test_smoothing_keeps_seven_tenths_of_history():
+def test_smoothing_keeps_seven_tenths_of_the_old_queue():
     drive = Drive(fleet((0,)))
     backend = drive.balancer.state.backends["b0"]
     loads = drive.balancer.loads
@@ -82,7 +82,7 @@
     assert backend.others_smoothed == pytest.approx(7.0 * 0.7**3)
 
 
-def test_draw_counts_own_sends():
+def test_draw_counts_own_attempts():
     drive = Drive(fleet((0, 0, 0)))
     sent = [attempts(drive.take())[0].backend for _ in range(3)]
     assert sorted(sent) == ["b0", "b1", "b2"]
@@ -96,13 +96,13 @@
     assert (drive.balancer.locality.threshold < before) == falls
 
 
-def test_slow_backend_draws_less():
+def test_slow_backend_gets_less_work():
     drive = Drive(fleet((0, 0, 0)))
     seen = spread(drive, 300, after=lambda attempt: 3000 if attempt.backend == "b0" else 500)
     assert seen["b0"] < 0.5 * min(seen["b1"], seen["b2"])
 
 
-def test_failing_backend_loses_traffic_and_gets_it_back():
+def test_failing_backend_loses_traffic_and_regains_it():
     drive = Drive(fleet((0, 0, 0, 0)))
     broken = True
     seen = Counter()
@@ -131,11 +131,11 @@
             health.record_result(backend, n < failing and turn % 2 < 2 * share, drive.now)
     levels = [health.distrust(backend, drive.now) for backend in backends]
     assert all((level > 0.5) == distrusted for level in levels[:failing])
-    # Even when all fail alike, none is out of the draw for good.
+    # Even when all fail alike, none is excluded for good.
     assert all(health.distrust(backend, drive.now + 3 * SECOND) < 0.25 for backend in backends)
 
 
-def test_crowd_is_deferred_at_once_with_a_time_to_come_back():
+def test_excess_load_is_deferred_at_once_with_retry_after():
     drive = Drive(balancers=8)
     actions = [action for _ in range(40) for action in drive.take()]
     deferred = answers(actions)
@@ -153,19 +153,19 @@
     assert kept[3] > kept[0]
 
 
-def test_copy_only_after_silence_and_the_loser_is_recalled():
+def test_hedge_only_for_an_overdue_attempt_and_the_loser_is_cancelled():
     drive = Drive(fleet((0, 0, 0)), allowed__may_duplicate=True)
     spread(drive, 30, after=300)
     drive.balancer.hedge_credit = 3.0
     actions = drive.take(0, 20_000)
     (first,) = attempts(actions)
     drive.now += 6000
-    (copy,) = attempts(drive.balancer.wake(drive.now).actions)
-    assert copy.backend != first.backend
-    assert drive.back(copy, after=300) == [CancelAttempt(first.work_item, 0)]
+    (hedge,) = attempts(drive.balancer.wake(drive.now).actions)
+    assert hedge.backend != first.backend
+    assert drive.back(hedge, after=300) == [CancelAttempt(first.work_item, 0)]
 
 
-def test_probe_before_the_draw_where_it_is_cheap_and_tells():
+def test_probes_before_the_draw_where_probes_are_cheap_and_report_queues():
     drive = Drive(
         fleet((0, 0, 0)),
         allowed__probes=True,
@@ -192,28 +192,28 @@
 
     for name in probes():
         drive.balancer.on_probe(drive.now, name, Outcome.FINISHED, 900, {"outstanding": 0})
-    # As long as it is fresh in memory that they wait in line, none go out; with none out, only time tells.
+    # While recent probes were slow none is sent; with none sent, only time can change that.
     assert not probes()
     drive.now += 10 * SECOND
     assert probes()
 
 
-def test_lost_probes_do_not_keep_a_work_item():
+def test_lost_probes_do_not_hold_up_a_work_item():
     drive = Drive(allowed__probes=True, tariffs__probe=0.002, feedback__fields="outstanding")
     drive.take()
     assert attempts(drive.balancer.wake(drive.now + 100).actions)
 
 
-def test_asks_for_the_list_until_it_is_heard():
+def test_subscribes_again_until_the_list_comes():
     balancer = Balancer(1, settings(discovery="on_request"), 0)
-    asked = []
+    requests = []
     now = balancer.start(0).wake_at
     for _ in range(3):
         step = balancer.wake(now)
-        asked += step.actions
+        requests += step.actions
         now = step.wake_at
         assert now < 40 * SECOND
-    assert len(asked) == 3
+    assert len(requests) == 3
     assert balancer.update_backends(now, fleet(), whole=True, cached=False).wake_at is None
 
 
@@ -226,7 +226,7 @@
         ([], True, set()),
     ],
 )
-def test_lists(listings, whole, running):
+def test_list_updates(listings, whole, running):
     drive = Drive(fleet((0, 0)))
     drive.balancer.update_backends(drive.now, listings, whole=whole, cached=False)
     assert {
@@ -234,7 +234,7 @@
     } == running
 
 
-def test_returning_backend_is_cold_and_forgiven():
+def test_restarted_backend_is_cold_and_trusted_again():
     drive = Drive(fleet((0, 0)))
     drive.balancer.health.record_result(drive.balancer.state.backends["b0"], True, drive.now)
     drive.balancer.update_backends(
@@ -245,13 +245,13 @@
     assert drive.balancer.health.distrust(backend, drive.now) == 0
 
 
-def test_stale_list_is_trusted_for_two_hand_offs():
+def test_cached_list_allows_two_attempts_per_backend():
     drive = Drive([])
     drive.balancer.update_backends(drive.now, fleet((0,)), whole=True, cached=True)
     assert sum(len(attempts(drive.take())) for _ in range(6)) == 2
 
 
-def test_same_calls_same_steps():
+def test_same_calls_give_the_same_steps():
     assert spread(Drive(seed=7), 100) == spread(Drive(seed=7), 100)
 
 
@@ -259,7 +259,7 @@
     ("expiry", "again", "sent"),
     [(12_000, False, 1), (12_000, True, 1), (9_000, True, 0), (19_000, True, 1), (9_000, False, 1)],
 )
-def test_repeat_past_its_first_due_time_is_not_sent(expiry, again, sent):
+def test_retry_past_the_due_time_of_the_first_try_is_not_sent(expiry, again, sent):
     drive = Drive()
     drive.take(0, 12_000)
     assert len(attempts(drive.take(0, expiry, is_retry=again))) == sent
@@ -268,7 +268,7 @@
 @pytest.mark.parametrize(
     ("slowdown", "copies", "early"), [(1.0, False, True), (3.0, False, False), (1.0, True, False)]
 )
-def test_straggler_is_given_up_early_in_an_idle_fleet_only(slowdown, copies, early):
+def test_straggler_times_out_early_in_an_idle_fleet_only(slowdown, copies, early):
     drive = Drive(allowed__may_duplicate=copies)
     spread(drive, 30, after=300)
     drive.balancer.admission.slowdown = slowdown
@@ -276,7 +276,7 @@
     assert (attempt.timeout < 10_000) == early
 
 
-def test_replaced_fleets_leave_nothing_behind():
+def test_replaced_fleets_are_forgotten():
     drive = Drive(fleet((0, 0)))
     (attempt,) = attempts(drive.take())
     drive.balancer.update_backends(drive.now, [Listing("b9")], whole=True, cached=False)
@@ -288,19 +288,19 @@
 
 
 @pytest.mark.parametrize(("idle_reads", "others"), [(1.0, 0.0), (0.0, 1.0)])
-def test_a_report_that_counts_the_answered_one_is_read_without_it(idle_reads, others):
+def test_report_that_counts_the_answered_work_item_is_corrected(idle_reads, others):
     drive = Drive(fleet((0,)))
     for reading in [idle_reads] * 20 + [1.0]:
         (attempt,) = attempts(drive.take())
         drive.back(attempt, report={"outstanding": reading})
     assert drive.balancer.state.backends["b0"].others_reading == others
-    # A probe is not counted by its own answer.
+    # The report with a probe's answer does not count the probe.
     drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 1.0})
     assert drive.balancer.state.backends["b0"].others_reading == 1.0
 
 
 @pytest.mark.parametrize(("queue", "cut"), [(1.0, False), (9.0, True)])
-def test_slowness_that_no_told_queue_explains_cuts_nothing(queue, cut):
+def test_slowness_that_no_reported_queue_explains_does_not_cut_the_limit(queue, cut):
     drive = Drive(fleet((0, 0)))
     spread(drive, 40, after=100)
     before = drive.balancer.admission.limit = 3.0
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.parametrize(("meanwhile", "cut"), [(True, False), (False, True)])
-def test_what_a_backend_that_answers_others_leaves_open_is_no_jam(meanwhile, cut):
+def test_open_attempt_at_a_backend_that_answers_others_does_not_cut_the_limit(meanwhile, cut):
     drive = Drive(fleet((0,)))
     spread(drive, 20, after=100)
     drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0.0})
@@ -326,8 +326,8 @@
 
 
 @pytest.mark.parametrize(("times", "cut"), [(5, False), (9, True)])
-def test_what_still_comes_well_before_its_due_time_cuts_no_limit(times, cut):
-    """Due in a second, a work item takes a twelfth of that alone; five times as long is no jam yet."""
+def test_answers_well_before_the_due_time_do_not_cut_the_limit(times, cut):
+    """A work item takes a twelfth of the second it is due in; five times as long is no overload yet."""
     drive = Drive(fleet((0, 0, 0)))
     spread(drive, 40)
     admission, took = drive.balancer.admission, drive.balancer.state.categories[0].base_time
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Backends taken out of service by operators, in the module."""
+"""Backends that operators take out of service and put back, in the decision module."""
 
 import pytest
 from helpers import SECOND, Drive, answers, attempts, fleet
@@ -7,7 +7,7 @@
 
 
 def run(drive, count, answer=True, **fields):
-    """Takes work items, answers each; where they went."""
+    """Submits work items, answers each, and returns the backends they went to."""
     went = []
     for _ in range(count):
         for attempt in attempts(drive.take(**fields)):
@@ -17,11 +17,11 @@
     return went
 
 
-def test_nothing_new_goes_to_a_backend_out_of_service():
+def test_no_new_work_for_a_backend_out_of_service():
     drive = Drive()
     out = attempts(drive.take())[0]
     assert drive.balancer.cordon(drive.now, out.backend)
-    # A second try, too.
+    # Nor does a retry.
     again = attempts(drive.back(out, Outcome.RESET))
     assert [attempt.backend != out.backend for attempt in again] == [True]
     assert out.backend not in run(drive, 200)
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("life", [Lifecycle.RUNNING, Lifecycle.DRAINING, Lifecycle.GONE, None])
-def test_what_the_list_says_meanwhile_undoes_nothing(life):
+def test_list_updates_do_not_undo_a_cordon(life):
     drive = Drive()
     assert drive.balancer.cordon(drive.now, "b1")
     others = [entry for entry in fleet() if entry.backend != "b1"]
@@ -57,7 +57,7 @@
     assert "b1" in run(drive, 100)
 
 
-def test_back_while_the_list_says_draining_the_lists_drain_binds():
+def test_uncordoned_backend_that_drains_gets_no_work():
     drive = Drive()
     drive.balancer.cordon(drive.now, "b1")
     drive.balancer.update_backends(drive.now, [Listing("b1", Lifecycle.DRAINING)], whole=False, cached=False)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("call", ["cordon", "uncordon"])
-def test_unknown_ids_get_a_no(call):
+def test_unknown_ids_are_refused(call):
     drive = Drive()
     assert not getattr(drive.balancer, call)(drive.now, "b77")
     drive.balancer.update_backends(drive.now, [Listing("b1", Lifecycle.GONE)], whole=False, cached=False)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("ids", [["b0", "b1", "b2"], ["b0", "b1", "b2", "b3", "b4"]])
-def test_a_zone_or_all_taken_out(ids):
+def test_a_zone_or_all_backends_out_of_service(ids):
     drive = Drive()
     for id in ids:
         assert drive.balancer.cordon(drive.now, id)
@@ -91,13 +91,13 @@
 @pytest.mark.parametrize(
     ("restarted", "told", "capacity"),
     [
-        (False, None, 0.3),  # the list may tell a restart late
+        (False, None, 0.3),  # the list may report a restart late
         (True, None, 0.3),
         (True, "meanwhile", 0.3 + 0.7 * 2 / 8),
         (False, "after", 1.0),
     ],
 )
-def test_it_comes_back_cold_by_its_start_and_with_nothing_held_against_it(restarted, told, capacity):
+def test_uncordoned_backend_is_cold_since_its_start_and_trusted(restarted, told, capacity):
     drive = Drive()
     b = drive.balancer.state.backends["b1"]
     for _ in range(9):
@@ -122,8 +122,8 @@
 
 
 @pytest.mark.parametrize("id", ["b1", "b4"])
-def test_back_in_service_it_gets_some_work_within_five_seconds(id):
-    # Its zone is not home, or all others look much better, and it is cold.
+def test_uncordoned_backend_gets_work_within_five_seconds(id):
+    # It is cold, and in another zone or next to backends that look much better.
     drive = Drive(rules__cold_from=0.1, rules__warm_within=60 * SECOND)
     run(drive, 100)
     drive.balancer.cordon(drive.now, id)
@@ -134,7 +134,7 @@
         went += run(drive, 1, expiry=20_000)
         drive.now += 500
     assert id in went
-    # One at a time: it is cold, and until one is answered it may bear none.
+    # Only one at a time until it answers, as it is cold.
     drive.balancer.cordon(drive.now, id)
     drive.now += SECOND
     drive.balancer.uncordon(drive.now, id)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -1,4 +1,4 @@
-"""An agent taken from one shape of deployment to another: what it keeps, and its first seconds there."""
+"""An agent whose deployment changes: what it keeps, and its first seconds after the change."""
 
 import json
 from collections import Counter
@@ -31,7 +31,7 @@
 
 
 def learned(seed=1):
-    """One that has served the old deployment for a while, and found it slow."""
+    """An agent that has served the old deployment for a while, and found it slow."""
     drive = Drive([Listing(f"b{n}", zone=n % 2) for n in range(12)], seed=seed, balancers=4, kinds="p")
     for n in range(120):
         for attempt in attempts(drive.take(n % 2)):
@@ -48,7 +48,7 @@
     return changed
 
 
-def test_what_means_something_else_begins_afresh_and_the_rest_stays():
+def test_learned_state_is_reset_only_where_its_meaning_changed():
     drive = learned()
     balancer = drive.balancer
     balancer.health.record_result(balancer.state.backends["b1"], True, drive.now)
@@ -63,7 +63,7 @@
     assert not balancer.loads.type_slowness
 
 
-def test_the_same_settings_leave_all_as_it_was():
+def test_unchanged_settings_change_nothing():
     drive = learned()
     before = export_learned(drive.balancer, drive.now)
     drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings))
@@ -72,10 +72,10 @@
 
 
 @pytest.mark.parametrize("told", ["same", "other", "none"])
-def test_a_record_is_read_by_the_shape_that_it_was_written_under(told):
+def test_a_record_is_imported_as_far_as_its_settings_match(told):
     old = learned()
     left = export_learned(old.balancer, old.now)
-    if told == "none":  # a former version, which also told a mean hint
+    if told == "none":  # written by an older version, which also stored a mean hint
         del left["shape"]
         left["categories"] = {name: (*figures, 0.0) for name, figures in left["categories"].items()}
     new = Drive([Listing(f"b{n}", zone=n % 2) for n in range(12)], now=old.now)
@@ -89,9 +89,9 @@
 
 
 @pytest.mark.parametrize("start", ["moved", "from nothing"])
-def test_the_first_seconds_at_a_cold_fleet(start):
-    """Over many agents: no cold backend is sent more than it bears, no exclusive work item runs twice, and
-    an agent that was moved defers no more than one that starts from nothing."""
+def test_first_seconds_with_a_cold_fleet(start):
+    """Over many agents: no cold backend gets more than it bears, no work item that must run at most once runs
+    twice, and an agent that was moved defers no more than one that starts with nothing learned."""
     work, deferred, taken = Counter(), 0, 0
     for me in range(60):
         drive = learned(me) if start == "moved" else Drive([], seed=me, balancers=300)
@@ -100,12 +100,12 @@
         assert "limit" in changed or start != "moved"
         until = drive.now + 2 * SECOND
         while drive.now < until:
-            actions = drive.take(1)  # exclusive
+            actions = drive.take(1)  # at most once
             taken += 1
             deferred += len(answers(actions))
             for attempt in attempts(actions):
                 work[attempt.backend] += 1
-                # Lost on its way: it may have run, and must not go out again nor be deferred.
+                # The connection was lost: it may have run, and must be neither sent again nor deferred.
                 again = drive.back(attempt, Outcome.RESET if me % 10 == 0 else Outcome.FINISHED, after=400)
                 assert not attempts(again)
                 drive.now += SECOND // 3
@@ -113,12 +113,12 @@
     assert deferred < 0.1 * taken
     cold = [work[f"n{n}"] for n in range(8)]
     usual = sum(work[f"n{n}"] for n in range(8, 40)) / 32
-    # Three times the present capacity, three tenths of a warm one's, is what topples it.
+    # A cold backend has 0.3 of the capacity of a warm one, and fails at 3 times its capacity.
     assert max(cold) < 3.0 * 0.3 * usual * 1.5
     assert sum(cold) > 0
 
 
-def test_an_owner_on_loopback_counts_what_it_began_afresh_and_serves_on():
+def test_an_agent_counts_what_it_reset_and_serves_on():
     rig = RouterRig()
     pending, _ = rig.submit()
     rig.router.update_settings(
@@ -148,18 +148,18 @@
 
 
 @pytest.mark.parametrize(("path", "value"), FAULTY)
-def test_settings_that_the_module_reads_are_checked(path, value):
+def test_settings_of_the_decision_module_are_validated(path, value):
     key = "settings." + path
     with pytest.raises(ConfigError, match=key):
         check(changed(key, value), {})
 
 
-def test_not_finite_is_no_number():
+def test_infinite_numbers_are_rejected():
     with pytest.raises(ConfigError):
         check(changed("settings.tariffs.connection", 0.5).replace(b"0.5", b"1e999"), {})
 
 
-def test_settings_left_out_leave_an_agent_as_it_was():
+def test_omitted_settings_change_nothing():
     plain = check(json.dumps(TOLD).encode(), {})
     more = changed("settings.me", 3, ("settings.weights", "live"), ("settings.tariffs.connection", 0.03))
     assert check_replacement(plain, check(more, {})) is None
@@ -168,8 +168,8 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf"), float("nan"), 1e-300, 2.0])
-def test_weights_that_move_or_make_no_sense_change_nothing(weight):
-    """A list whose weights follow the load, freeze or are nonsense sends work where one without them does."""
+def test_changing_or_invalid_weights_change_nothing(weight):
+    """Work goes to the same backends whether listed weights follow the load, are frozen or invalid."""
     seen = []
     for size in (1.0, weight):
         drive = Drive([Listing(f"b{n}", weight=size) for n in range(8)], weights="live")
@@ -188,8 +188,8 @@
     ("cold_home", "cold_away"), [(1.0, 0.0), (0.96, 0.96), (0.63, 0.63)], ids=["zone", "replaced", "grown"]
 )
 def test_most_of_a_fleet_cold(cold_home, cold_away):
-    """A zone whose backends are all cold, 96% of the fleet replaced, a fleet grown 2.7 times: all agents
-    together stay under the push at the cold ones, and what warm ones there are bear the rest."""
+    """A zone with only cold backends, 96% of the fleet replaced, or a fleet grown 2.7 times: all agents
+    together stay below the overload of the cold backends, and the warm ones bear the rest."""
     work, now = Counter(), 100_000
     colds = {f"b{n}" for n in range(48) if n % 24 < 24 * (cold_home if n < 24 else cold_away)}
     for me in range(200):
@@ -204,12 +204,12 @@
                 drive.back(attempt, after=500)
             drive.now += SECOND // 6
     equal = 200 * 6 / 48
-    # Seven tenths of the push, 3 times three tenths of what an equal share is, grown by a second's warming.
+    # 0.7 of the overload: 3 times the capacity, which is 0.3 of an equal share and 0.4 after a second.
     assert 0 < sum(work[b] for b in colds) / len(colds) < 0.7 * 3.0 * 0.4 * equal
     assert sum(work.values()) > 0.25 * 200 * 6
 
 
-def test_an_agent_back_with_an_old_list_holds_back_until_that_is_confirmed():
+def test_agent_with_a_cached_list_limits_attempts_until_it_is_confirmed():
     drive = Drive([], balancers=2, me=2, tariffs__connection=0.03)
     listings = [Listing(f"b{n}") for n in range(30)]
     drive.balancer.update_backends(drive.now, listings, whole=True, cached=True)
@@ -223,7 +223,7 @@
     assert gone not in [attempt.backend for _ in range(20) for attempt in attempts(drive.take())]
 
 
-def test_all_slow_together_exiles_nobody_and_passes():
+def test_common_slowness_excludes_no_backend_and_passes():
     drive = Drive([Listing(f"b{n}") for n in range(10)], balancers=20)
     for after, turns in ((500, 60), (1400, 100), (500, 100)):
         picks, deferred = Counter(), 0
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize(("surplus", "spared"), [(0.2, True), (1.0, False)])
-def test_a_customer_far_over_its_share_is_deferred_before_one_under_it(surplus, spared):
+def test_customer_far_over_its_share_is_deferred_first(surplus, spared):
     shares = {"projects.0.share": 0.5, "projects.1.share": 0.5, "surplus_payoff": surplus}
     drive = Drive(balancers=3, projects__count=2, **shares)
     for n in range(40):
@@ -254,8 +254,8 @@
 
 
 @pytest.mark.parametrize(("dearer", "rises"), [(0.0, 1), (0.06, 2), (0.3, 9)])
-def test_a_dearer_crossing_counts_from_the_next_answer_on(dearer, rises):
-    """Read at the start alone, the price of the deployment before would set the threshold until a restart."""
+def test_new_price_of_crossing_zones_counts_from_the_next_answer(dearer, rises):
+    """If read only at the start, the old price would set the threshold until a restart."""
     risen = {}
     for price in (0.0, dearer):
         drive = Drive([Listing(f"b{n}") for n in range(3)], tariffs__cross_zone=0.0)
@@ -273,7 +273,7 @@
     ("fields", "price", "asks"),
     [("outstanding", 0.001, True), ("backlog", 0.001, False), ("outstanding", 1e9, False), ("", 0.1, False)],
 )
-def test_probes_go_by_the_fields_and_the_price_in_force(fields, price, asks):
+def test_probes_follow_the_report_fields_and_price_in_force(fields, price, asks):
     drive = learned()
     assert not drive.balancer.state.probes_first
     told = {"allowed.probes": True, "feedback.fields": fields, "tariffs.probe": price}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What must hold however many agents and backends there are."""
+"""Properties that must hold for any number of agents and backends."""
 
 from collections import Counter
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("size", [10, 70, 300, 3000])
-def test_backends_looked_at_do_not_grow_with_the_fleet(size, monkeypatch):
+def test_number_of_candidates_does_not_grow_with_the_fleet(size, monkeypatch):
     drive = Drive([Listing(f"b{n}", zone=n % 3) for n in range(size)], balancers=500)
     looked = set()
     view = drive.balancer.loads.cost
@@ -23,7 +23,7 @@
     assert 2 <= len(looked) <= 2 * SAMPLE_SIZE
 
 
-def test_agents_that_know_equally_little_spread_out():
+def test_agents_without_knowledge_spread_over_the_fleet():
     seen = Counter()
     for seed in range(300):
         seen.update(
@@ -34,8 +34,8 @@
 
 
 @pytest.mark.parametrize("agents", [300, 50])
-def test_shares_under_one_sum_up(agents):
-    """Slow answers everywhere: over all agents, hardly two crowds of the fleet are out on average."""
+def test_limits_below_one_work_item_add_up(agents):
+    """With slow answers everywhere all agents together have at most twice the overload in flight."""
     out = 0.0
     for seed in range(agents):
         drive = Drive(FULL_FLEET, seed=seed, balancers=agents, categories__0__due_time=2 * SECOND)
@@ -52,7 +52,7 @@
     assert 0.2 * len(FULL_FLEET) <= out <= 2 * OVERLOAD * len(FULL_FLEET)
 
 
-def test_a_backend_never_used_is_guessed_by_its_kind():
+def test_unused_backend_is_estimated_by_its_machine_type():
     drive = Drive([Listing(f"b{n}", machine_type=n % 2) for n in range(24)], balancers=100)
     for _ in range(150):
         for attempt in attempts(drive.take()):
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("age", "sharp"), [(0, True), (30 * SECOND, False)])
-def test_the_draw_is_as_sharp_as_memory_is_fresh(age, sharp):
+def test_the_draw_is_sharp_only_while_readings_are_fresh(age, sharp):
     drive = Drive(fleet([0] * 10))
     backends = list(drive.balancer.state.backends.values())
     for b in backends:
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("told", [None, 0, -5, 1, 10**9])
-def test_any_number_of_agents_is_survived(told):
+def test_any_configured_number_of_agents_is_accepted(told):
     plain = settings(balancers=told)
     if told is None:
         del plain["balancers"]
@@ -106,11 +106,11 @@
     assert bool(answers(actions)) != sent
 
 
-def test_a_list_replaced_whole_under_traffic():
+def test_whole_list_replaced_under_traffic():
     drive = Drive(fleet((0, 0, 1)), balancers=300)
     (attempt,) = attempts(drive.take(1))
     drive.balancer.update_backends(drive.now, [Listing(f"n{n}") for n in range(40)], whole=True, cached=False)
-    # It may have run on a backend that is gone: it is not sent again, and what is new goes to the new.
+    # It may have run on the removed backend, so it is not sent again; new work goes to the new backends.
     assert not attempts(drive.back(attempt, Outcome.RESET))
     assert all(attempt.backend.startswith("n") for _ in range(10) for attempt in attempts(drive.take()))
 
@@ -126,8 +126,8 @@
 
 
 @pytest.mark.parametrize("warm", [0, 10])
-def test_cold_backends_get_their_share_over_500_agents(warm):
-    """Many agents that see idle cold backends and long queues at all others: the sum stays under the push."""
+def test_cold_backends_get_their_share_from_500_agents(warm):
+    """Agents that see idle cold backends and long queues at all others stay below the overload in sum."""
     now, agents = 100_000, 500
     listings = [Listing(f"w{n}") for n in range(warm)] + [Listing(f"c{n}", started_at=now) for n in range(10)]
     seen, total = Counter(), 0
@@ -139,15 +139,15 @@
         for attempt in attempts(drive.take()):
             seen[attempt.backend] += 1
             total += 1
-    # At most 0.7 of the push of 3 times what each cold one bears now, as a part of a warm fleet's work;
-    # where all are cold the rest is deferred.
+    # At most 0.7 of the overload, which is 3 times what each cold backend bears now, as a share of the work
+    # of a warm fleet; where all are cold the rest is deferred.
     share = 2.1 * 0.3 / (warm + 10)
     assert total > (0.9 if warm else 0.3) * agents
     assert 0.2 * share * agents <= min(seen[f"c{n}"] for n in range(10))
     assert sum(seen[f"c{n}"] for n in range(10)) <= 1.2 * 10 * share * agents
 
 
-def test_agents_agree_where_a_key_is_kept_and_a_hot_key_spreads():
+def test_agents_agree_on_the_backend_of_a_key_and_a_hot_key_spreads():
     drives = [Drive(fleet([0] * 30), seed=seed, family_info__warm_keys=True) for seed in range(40)]
     cold, hot = Counter(), Counter()
     for drive in drives:
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize(("wait", "sent"), [(SECOND // 2, False), (3 * SECOND, True)])
-def test_who_defers_everything_tries_again_after_a_while(wait, sent):
+def test_agent_that_defers_everything_sends_a_trial_after_a_while(wait, sent):
     drive = Drive()
     drive.back(attempts(drive.take())[0])
     drive.balancer.state.categories[0].base_time = 30_000.0
@@ -169,14 +169,14 @@
     assert bool(attempts(drive.take())) == sent
 
 
-def test_one_heavy_answer_does_not_make_a_category_hopeless():
+def test_one_slow_answer_does_not_defer_a_whole_category():
     drive = Drive(categories__0__payoff=1.0)
     drive.back(attempts(drive.take())[0], after=9900)
     drive.now += SECOND // 10
     assert attempts(drive.take())
 
 
-def test_the_usual_time_rises_slower_than_it_falls():
+def test_base_time_rises_slower_than_it_falls():
     usual = {}
     for after in (500, 8000):
         drive = Drive()
@@ -191,9 +191,9 @@
 
 @pytest.mark.parametrize("away", [0, 40])
 @pytest.mark.parametrize(("age", "least", "most"), [(2, 0.2, 0.9), (7, 0.5, 1.3)])
-def test_a_cold_backend_gets_work_by_what_it_bears(age, least, most, away):
-    """Warm ones that an agent knows well must not starve a cold one, nor may its own small budget. Agents of
-    other zones send next to nothing there, so that their backends are no part of what shares it."""
+def test_cold_backend_gets_work_by_its_capacity(age, least, most, away):
+    """Neither well-known warm backends nor its own small budget may starve a cold one. Agents of other zones
+    send almost nothing there, so their backends do not count among those that share the work."""
     warm, cold = Counter(), 0
     for seed in range(60):
         now = 100_000
@@ -211,7 +211,7 @@
     assert least * usual < cold < most * usual
 
 
-def test_the_pace_of_a_cold_backend_is_learned_beside_its_coldness():
+def test_learned_slowness_excludes_the_warm_up():
     drive = Drive([Listing("c", started_at=99_000), Listing("w")], rules__warm_within=60 * SECOND)
     b = drive.balancer.state.backends["c"]
     for _ in range(40):
@@ -221,8 +221,8 @@
     assert abs(drive.balancer.loads._log_slowness(b, drive.now)) < 0.3
 
 
-def test_a_cold_backend_takes_draws_that_are_its_own_by_a_key():
-    """Clipped as one drawn for any key, the home of some keys would get next to none of them."""
+def test_cold_backend_gets_work_whose_key_prefers_it():
+    """With the cap of a draw without keys, the home of some keys would get almost none of their work."""
     now, sent, named = 100_000, 0, 0
     listings = [Listing(f"b{n}", started_at=0 if n else now - 4 * SECOND) for n in range(40)]
     for seed in range(20):
@@ -240,11 +240,11 @@
     assert 0.35 * named < sent < 0.95 * named
 
 
-@pytest.mark.parametrize(("belief", "sharp"), [(0.5, True), (0.05, False)])
-def test_the_draw_is_no_sharper_than_reports_have_foretold(belief, sharp):
+@pytest.mark.parametrize(("trust", "sharp"), [(0.5, True), (0.05, False)])
+def test_the_draw_is_no_sharper_than_reports_predict(trust, sharp):
     drive = Drive(fleet([0] * 10))
     loads = drive.balancer.loads
-    loads.squares, loads.products = 1e6, belief * 1e6
+    loads.squares, loads.products = 1e6, trust * 1e6
     for b in drive.balancer.state.backends.values():
         drive.balancer.on_probe(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 0})
         assert (loads._sharpness(b, drive.now, 800) > 11) == sharp
@@ -252,18 +252,18 @@
 
 
 @pytest.mark.parametrize(("took", "trusted"), [(800, False), (8_000, True)])
-def test_a_reading_is_trusted_for_some_times_of_what_a_work_item_takes(took, trusted):
+def test_a_reading_is_trusted_for_a_few_work_items(took, trusted):
     drive = Drive(fleet([0] * 10))
     loads = drive.balancer.loads
     loads.squares = loads.products = 1e6
     drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0})
     b = drive.balancer.state.backends["b0"]
-    # A second and a half later: many queues' lives where work is short, a part of one where it is long.
+    # After 1.5 s a queue of short work items has changed many times, one of long ones has not.
     assert (loads._sharpness(b, drive.now + 15_000, took) > 8) is trusted
 
 
 @pytest.mark.parametrize(("slower", "kept"), [(0.8, True), (1.6, False)])
-def test_a_key_stays_at_home_while_that_is_less_than_the_work_it_saves(slower, kept):
+def test_a_key_stays_at_its_backend_while_that_is_not_much_slower(slower, kept):
     drive = Drive(fleet([0] * 10), family_info__warm_keys=True)
     home = drive.balancer.key_affinity.preferred("k")[0]
     home.log_slowness, home.slowness_at, home.answered_at = slower, drive.now, drive.now
@@ -281,7 +281,7 @@
     ("out", "slowdown", "sent"),
     [(1, 2.0, True), (2, 2.0, True), (3, 2.0, False), (3, 1.0, True), (4, 1.0, False)],
 )
-def test_two_at_once_are_chance_where_a_share_is_small(out, slowdown, sent):
+def test_two_in_flight_do_not_reach_a_small_limit(out, slowdown, sent):
     drive = Drive(fleet([0] * 10), balancers=40)
     drive.balancer.admission.limit = 0.12  # times ten backends: room for little more than one
     drive.balancer.state.open, drive.balancer.state.mean_open = out, 0.3
@@ -291,8 +291,8 @@
 
 
 @pytest.mark.parametrize(("sooner", "more"), [(0.2, 1.22), (5.0, 1.35)])
-def test_a_cold_backend_that_answers_sooner_than_assumed_bears_more_to_some_degree(sooner, more):
-    """Others look much worse, so that it gets all of its share: seven tenths of the push at what it bears."""
+def test_cold_backend_that_answers_sooner_than_assumed_gets_somewhat_more(sooner, more):
+    """The others look much worse, so it gets its whole share: 0.7 of the overload at its capacity."""
     sent, now, turns = 0, 100_000, 1500
     listings = [*fleet([0] * 7), Listing("c", started_at=now - 4 * SECOND)]
     drive = Drive(listings, balancers=300, now=now)
@@ -302,13 +302,13 @@
         for attempt in attempts(drive.take()):
             sent += attempt.backend == "c"
             drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
-    told = drive.balancer.health.capacity(drive.balancer.state.backends["c"], now)
-    assert sent / turns == pytest.approx(0.7 * 3.0 * more * told / 8, rel=0.08)
+    capacity = drive.balancer.health.capacity(drive.balancer.state.backends["c"], now)
+    assert sent / turns == pytest.approx(0.7 * 3.0 * more * capacity / 8, rel=0.08)
 
 
 @pytest.mark.parametrize(("took", "deferred"), [(800, 0), (5000, 1)])
-def test_one_long_work_item_does_not_have_a_quiet_agent_defer_the_next(took, deferred):
-    """Two hundred agents, a share of one work item each: over it by time, and the fleet may be idle."""
+def test_one_long_work_item_does_not_make_a_quiet_agent_defer_the_next(took, deferred):
+    """200 agents, each limited to about one work item: over it by the mean, while the fleet may be idle."""
     drive = Drive(fleet([0] * 33), balancers=200, categories__0__due_time=3 * SECOND)
     for _ in range(30):
         drive.now += SECOND
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -25,13 +25,13 @@
 ASK = "tick sim_time=1100000000\nsubmit i=1 txn=9 band=0 client_deadline=1800000000\n"
 
 
-def play(text):
+def run_bridge(text):
     out, err = io.StringIO(), io.StringIO()
     return main(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
 
 
-def test_a_work_item_is_handed_off():
-    status, out, err = play(START + ASK + "eob\n")
+def test_a_work_item_is_sent():
+    status, out, err = run_bridge(START + ASK + "eob\n")
     assert (status, err) == (0, "")
     assert out.count("ready") == 2
     assert "relay i=1 txn=9" in out
@@ -51,7 +51,7 @@
     ],
 )
 def test_unreadable_input(text, line, fault):
-    status, _, err = play(text)
+    status, _, err = run_bridge(text)
     assert status == 2
     assert err.startswith(f"nettledeal: line {line}: ")
     assert fault in err
@@ -71,18 +71,18 @@
         "announce i=1 scope=hearsay",
     ],
 )
-def test_unknown_things_lead_to_nothing(event):
-    status, out, _ = play(START + f"tick sim_time=1000000500\n{event}\neob\n")
+def test_unknown_events_and_ids_are_ignored(event):
+    status, out, _ = run_bridge(START + f"tick sim_time=1000000500\n{event}\neob\n")
     assert status == 0
     assert out == "ready\nready\n"
 
 
-def test_a_fault_in_the_decisions_is_told(monkeypatch):
+def test_an_exception_in_the_decisions_is_reported(monkeypatch):
     def broken(*_args, **_fields):
         raise RuntimeError("no such luck")
 
     monkeypatch.setattr(host_module.Balancer, "submit", broken)
-    status, out, err = play(START + ASK + "eob\n")
+    status, out, err = run_bridge(START + ASK + "eob\n")
     assert status == 0
     assert "bail_out i=1 message=RuntimeError: no such luck" in out
     assert "Traceback" in err
@@ -100,7 +100,7 @@
         ("me", "3", 3),
     ],
 )
-def test_settings_in_our_words_and_units(name, text, value):
+def test_settings_are_converted_to_our_names_and_units(name, text, value):
     assert codec.settings(f"{name}={text}") == {name: value}
 
 
@@ -113,7 +113,7 @@
         (Answer(9, Verdict.FAILED), "finish_error i=2 txn=9"),
     ],
 )
-def test_lines(action, line):
+def test_actions_are_encoded_as_lines(action, line):
     assert codec.encode(2, action) == line
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Where open connections cost, an agent keeps to a part of the fleet."""
+"""Where open connections cost, an agent keeps to a subset of the fleet."""
 
 from collections import Counter
 
@@ -14,20 +14,20 @@
 FLEET = fleet([0] * 30 + [1] * 30)
 
 
-def kept(**changes):
+def subset_drive(**changes):
     return Drive(FLEET, balancers=300, tariffs__connection=0.03, **changes)
 
 
 @pytest.mark.parametrize(("price", "most"), [(0.03, SUBSET), (0.0, 30)])
-def test_a_part_is_kept_to_where_connections_cost(price, most):
+def test_subset_is_used_where_connections_cost(price, most):
     seen = spread(Drive(FLEET, balancers=300, tariffs__connection=price), 200, after=500)
     assert len(seen) <= most
     assert price or len(seen) > SUBSET
 
 
 @pytest.mark.parametrize(("rate", "few"), [(2, True), (100, False)])
-def test_who_has_much_out_keeps_to_more_of_them(rate, few):
-    """Each answer takes half a second: one work item out on average, and fifty."""
+def test_agent_with_more_in_flight_uses_more_backends(rate, few):
+    """Each answer takes half a second, so that one or fifty attempts are in flight on average."""
     drive = Drive(fleet([0] * 12), balancers=3, tariffs__connection=0.05)
     waiting, peaks, seen = [], Counter(), set()
     for _ in range(6 * rate):
@@ -39,23 +39,25 @@
             seen.add(attempt.backend)
         peaks.update({b.id: max(0, len(b.in_flight) - peaks[b.id]) for b in drive.balancer.state.near})
     assert (len(seen) == SUBSET) is few
-    # It had them crowd its two, and the rest deferred, beside ten that had nothing to do.
+    # It used to overload its two and defer the rest, beside ten idle backends.
     assert max(peaks.values()) <= 2 * OVERLOAD
 
 
-def test_the_parts_of_many_agents_cover_the_fleet_evenly():
-    held = Counter(b.id for me in range(200) for part in kept(me=me).balancer.state.subsets for b in part)
+def test_subsets_of_many_agents_cover_the_fleet_evenly():
+    held = Counter(
+        b.id for me in range(200) for part in subset_drive(me=me).balancer.state.subsets for b in part
+    )
     assert len(held) == 60
     assert max(held.values()) < 2.5 * 200 * 1.5 * SUBSET / 60
 
 
-def test_a_restarted_agent_keeps_to_the_same_part():
-    parts = [[b.id for b in kept(me=7, seed=seed).balancer.state.subsets[0]] for seed in (1, 2)]
+def test_restarted_agent_keeps_its_subset():
+    parts = [[b.id for b in subset_drive(me=7, seed=seed).balancer.state.subsets[0]] for seed in (1, 2)]
     assert parts[0] == parts[1]
 
 
-def test_the_part_changes_by_no_more_than_what_left_it():
-    drive = kept(me=3)
+def test_subset_changes_only_by_the_backend_that_left():
+    drive = subset_drive(me=3)
     before = {b.id for b in drive.balancer.state.subsets[0]}
     gone = next(iter(before))
     drive.balancer.update_backends(
@@ -67,16 +69,16 @@
     assert len(before & after) == SUBSET - 1
 
 
-def test_one_more_for_each_cold_one():
-    drive = kept(me=3)
+def test_subset_grows_by_one_for_each_cold_backend():
+    drive = subset_drive(me=3)
     first, *_ = drive.balancer.state.subsets[0]
     started = Listing(first.id, started_at=drive.now)
     drive.balancer.update_backends(drive.now, [started], whole=False, cached=False)
     assert len(drive.balancer.state.subsets[0]) == SUBSET + 1
 
 
-def test_a_ticket_finds_its_cell_outside_the_part():
-    """Its cell has one backend in the part: the second try must go to the cell all the same."""
+def test_deduplicated_retry_finds_its_cell_outside_the_subset():
+    """Only one backend of its cell is in the subset, and the retry must still go to that cell."""
     listings = [Listing(f"b{n}", cell=n // 4) for n in range(40)]
     drive = Drive(listings, balancers=300, me=1, tariffs__connection=0.03, categories__3__group="cell")
     (attempt,) = attempts(drive.take(3))
@@ -84,11 +86,13 @@
     assert int(second.backend[1:]) // 4 == int(attempt.backend[1:]) // 4
 
 
-@pytest.mark.parametrize("category", [0, 1, 2, 3], ids=["rerunnable", "exclusive", "ticketed", "in a cell"])
-def test_a_connect_refused_for_want_of_places_moves_on_and_opens_no_storm(category):
-    """Its backend answers on the connections that it has: what it takes no new one for never ran, goes to
-    another of the part, whatever its effect, and the backend is tried again within seconds."""
-    drive = kept(me=1, categories__3__group="cell", allowed__most_hand_offs=4)
+@pytest.mark.parametrize(
+    "category", [0, 1, 2, 3], ids=["idempotent", "at most once", "deduplicated", "in a cell"]
+)
+def test_refused_connection_is_retried_elsewhere_without_a_storm(category):
+    """The backend answers on open connections but refuses new ones: such an attempt never ran and goes to
+    another backend of the subset, whatever its effect; the backend is tried again within seconds."""
+    drive = subset_drive(me=1, categories__3__group="cell", allowed__most_hand_offs=4)
     part = {b.id for group in drive.balancer.state.subsets for b in group}
     full = drive.balancer.state.subsets[0][0].id
     used, refused, moved = Counter(), 0, 0
@@ -114,7 +118,7 @@
     assert used[full] > before
 
 
-def test_what_is_dealt_comes_first_in_an_agents_own_order():
+def test_assigned_backends_come_first_in_the_order_of_an_agent():
     drive = Drive(fleet([0] * 12), tariffs__connection=0.03, me=3)
     usual = [b.id for b in drive.balancer.state.near]
     drive.balancer.apply_settings(
@@ -125,7 +129,7 @@
     assert [b.id for b in drive.balancer.state.near][2:] == rest
 
 
-def test_another_count_of_agents_takes_a_share_of_the_limit_in_proportion():
+def test_limit_is_scaled_to_the_number_of_agents():
     drive = Drive(fleet([0] * 12), balancers=50)
     before = drive.balancer.admission.limit
     set_fleet_size(drive.balancer, drive.now, 100, 7, ())
