--- a/src/nettledeal/policy/admission.py
+++ b/src/nettledeal/policy/admission.py
@@ -26,7 +26,9 @@
 
     def configure(self) -> None:
         state = self.state
-        self.max_backoff = state.get("allowed.max_retry_after", 0) * state.get("allowed.retry_after", False)
+        self.max_retry_after = state.get("allowed.max_retry_after", 0) * state.get(
+            "allowed.retry_after", False
+        )
         self.over_share_factor = float(state.get("surplus_payoff", 1.0))
         count = state.get("projects.count", 0)
         self.shares = [float(state.get(f"projects.{n}.share", 0.0)) for n in range(count)]
@@ -124,8 +126,8 @@
         self.limit = max(1.0 / self.state.agent_count, factor * self.limit)
 
     def retry_after(self, item: WorkItem, now: Time) -> Time:
-        if not self.max_backoff:
+        if not self.max_retry_after:
             return 0
         if item.due_at <= now:
-            return self.max_backoff
-        return int(min(self.max_backoff, max(self.expected_wait, 500)))
+            return self.max_retry_after
+        return int(min(self.max_retry_after, max(self.expected_wait, 500)))
--- a/src/nettledeal/policy/balancer.py
+++ b/src/nettledeal/policy/balancer.py
@@ -21,14 +21,14 @@
         return self._step(now)
 
     def submit(
-        self, now: Time, id: WorkItemId, category: int, expiry: Time, *, customer: int = 0,
+        self, now: Time, id: WorkItemId, category_index: int, expiry: Time, *, customer: int = 0,
         key: str | None = None, is_retry: bool = False, is_long: bool = False,
     ) -> Step:  # fmt: skip
-        kind = self.state.category(category)
+        category = self.state.category(category_index)
         due = expiry
-        if kind.due_in and not is_long:  # the end of a long upload is unknown, so it has its whole time
-            due = min(expiry, self._first_tried(now, kind, expiry, is_retry) + kind.due_in)
-        item = WorkItem(id, kind, now, due, expiry, customer, is_retry, self.work_items.max_attempts, key)
+        if category.due_in and not is_long:  # the end of a long upload is unknown, so it has its whole time
+            due = min(expiry, self._first_tried(now, category, expiry, is_retry) + category.due_in)
+        item = WorkItem(id, category, now, due, expiry, customer, is_retry, self.work_items.max_attempts, key)
         self.work_items.by_id[id] = item
         self.admission.record_received(item, now)
         if key is not None and self.state.warm_keys:
@@ -99,7 +99,8 @@
         self.state.processes = processes
 
     def cordon(self, now: Time, id: BackendId, heard: bool = False) -> bool:
-        """Out of service until `uncordon`. True if it is known, or `heard` from another process."""
+        """Takes a backend out of service until `uncordon`, whatever the list says. Returns whether it is
+        known, which one `heard` of from another process always is."""
         state, b = self.state, self.state.backends.get(id)
         if heard or b is not None and b.listing.lifecycle is not Lifecycle.GONE:
             state.cordoned.setdefault(id, now)
@@ -110,7 +111,7 @@
         return id in state.cordoned
 
     def uncordon(self, now: Time, id: BackendId) -> bool:
-        """In service as the list allows, with nothing learned; returns whether the backend is known."""
+        """Puts it back in service as the list allows, with nothing learned. Returns whether it is known."""
         state, b = self.state, self.state.backends.get(id)
         if b is None and id not in state.cordoned:
             return False
--- a/src/nettledeal/policy/dispatch.py
+++ b/src/nettledeal/policy/dispatch.py
@@ -62,7 +62,8 @@
             self.actions.append(self.work_items.answer(item, self.admission.retry_after(item, now)))
 
     def _send_trial(self, route: Routing) -> bool:
-        """A first attempt now and then to a backend put back in service, as others look better for long."""
+        """Sends a first attempt now and then to each backend put back in service, until one is answered: with
+        nothing learned about it, others would look better for long."""
         for id, at in self.state.trials.items() if not route.item.attempts else ():
             b = self.state.backends.get(id)
             if at <= route.now and b is not None:
@@ -101,17 +102,10 @@
         item, now, backend = route.item, route.now, route.chosen
         base_time = self.state.base_time(item.category)
         ahead = self.loads.queue(backend, now)
-        expected_by = now + int((1 + ahead) * base_time * self.loads.slowness(backend, now)) + 1
+        eta = now + int((1 + ahead) * base_time * self.loads.slowness(backend, now)) + 1
         others, begin_by = self.loads.others_queue(backend, now), self.retries.deadline(item)
         attempt = Attempt(
-            len(item.attempts),
-            backend,
-            now,
-            expected_by,
-            ahead,
-            len(backend.in_flight),
-            others,
-            route.cross_zone,
+            len(item.attempts), backend, now, eta, ahead, len(backend.in_flight), others, route.cross_zone
         )
         item.attempts.append(attempt)
         self.in_flight[(item.id, attempt.number)] = attempt
@@ -122,10 +116,9 @@
         self.health.record_sent(route)
         if route.is_hedge:
             self.hedge_credit -= 1.0
-        timeout = max(
-            1, item.expires_at - now - 2 * self.resolution
-        )  # the answer must reach the client by then
-        patience = int(max(4 * (expected_by - now), 4 * base_time))
+        # Slightly before the expiry, as the answer must reach the client by then.
+        timeout = max(1, item.expires_at - now - 2 * self.resolution)
+        patience = int(max(4 * (eta - now), 4 * base_time))
         self._set_timer(now + patience, item, attempt.number)
         # Without hedging a straggler times out while another backend can still be on time; only in an idle
         # fleet and with a known base time, since the backend goes on and the work is done twice.
--- a/src/nettledeal/policy/health.py
+++ b/src/nettledeal/policy/health.py
@@ -38,7 +38,8 @@
         return (spent + cost <= budget or budget < cost) and len(backend.in_flight) < 3
 
     def budget(self, backend: Backend, now: Time) -> float:
-        """This agent's share, in time of work, of half the overload that makes a cold backend fail."""
+        """This agent's share, in time of work, of half the overload that makes a cold backend fail. Agents do
+        not see each other, so each keeps to its share, and never spends it in one burst."""
         whole = 0.5 * self.overload_factor * self.window * self.capacity(backend, now - self.window // 2)
         return whole / self.state.agent_count
 
--- a/src/nettledeal/policy/shared_state.py
+++ b/src/nettledeal/policy/shared_state.py
@@ -42,7 +42,7 @@
     def configure(self, settings: Mapping) -> None:
         self.settings, self.get = settings, settings.get
         self.warm_keys = bool(self.get("family_info.warm_keys", False))
-        # Where open connections cost, an agent keeps to a subset of the fleet, in an order of its own, and
+        # Where open connections cost, an agent keeps to a subset of the fleet, ordered by its index, and
         # considers all of it; otherwise a sample includes the backends that reported last.
         self.subsetting, self.index = self.get("tariffs.connection", 0.0) > 0.0, self.get("me", self.seed)
         self.recent: deque[Backend] = deque(maxlen=0 if self.subsetting else SAMPLE_SIZE // 2)
