--- a/tests/test_move.py
+++ b/tests/test_deployment_change.py
@@ -71,21 +71,21 @@
     assert export_learned(drive.balancer, drive.now) == before
 
 
-@pytest.mark.parametrize("told", ["same", "other", "none"])
-def test_a_record_is_imported_as_far_as_its_settings_match(told):
+@pytest.mark.parametrize("settings_are", ["same", "other", "none"])
+def test_a_record_is_imported_as_far_as_its_settings_match(settings_are):
     old = learned()
     left = export_learned(old.balancer, old.now)
-    if told == "none":  # written by an older version, which also stored a mean hint
+    if settings_are == "none":  # written by an older version, which also stored a mean hint
         del left["shape"]
         left["categories"] = {name: (*figures, 0.0) for name, figures in left["categories"].items()}
     new = Drive([Listing(f"b{n}", zone=n % 2) for n in range(12)], now=old.now)
-    new.balancer.apply_settings(new.now, MOVED if told == "other" else old.balancer.state.settings)
+    new.balancer.apply_settings(new.now, MOVED if settings_are == "other" else old.balancer.state.settings)
     fresh = new.balancer.admission.limit
     assert import_learned(new.balancer, new.now, left)
     assert new.balancer.state.categories[0].base_time == old.balancer.state.categories[0].base_time
-    assert (new.balancer.admission.limit == old.balancer.admission.limit) == (told == "same")
-    assert (new.balancer.admission.limit == fresh) == (told != "same")
-    assert bool(new.balancer.loads.type_slowness) == (told == "same")
+    assert (new.balancer.admission.limit == old.balancer.admission.limit) == (settings_are == "same")
+    assert (new.balancer.admission.limit == fresh) == (settings_are != "same")
+    assert bool(new.balancer.loads.type_slowness) == (settings_are == "same")
 
 
 @pytest.mark.parametrize("start", ["moved", "from nothing"])
@@ -276,8 +276,8 @@
 def test_probes_follow_the_report_fields_and_price_in_force(fields, price, asks):
     drive = learned()
     assert not drive.balancer.state.probes_first
-    told = {"allowed.probes": True, "feedback.fields": fields, "tariffs.probe": price}
-    drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings) | told)
+    changes = {"allowed.probes": True, "feedback.fields": fields, "tariffs.probe": price}
+    drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings) | changes)
     drive.now += 20 * SECOND
     drive.balancer.loads.probe_credit = 0.0
     probes = [action for _ in range(6) for action in drive.take() if isinstance(action, Probe)]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    ("restarted", "told", "capacity"),
+    ("restarted", "listed", "capacity"),
     [
         (False, None, 0.3),  # the list may report a restart late
         (True, None, 0.3),
@@ -97,7 +97,7 @@
         (False, "after", 1.0),
     ],
 )
-def test_uncordoned_backend_is_cold_since_its_start_and_trusted(restarted, told, capacity):
+def test_uncordoned_backend_is_cold_since_its_start_and_trusted(restarted, listed, capacity):
     drive = Drive()
     b = drive.balancer.state.backends["b1"]
     for _ in range(9):
@@ -107,13 +107,13 @@
     drive.balancer.cordon(drive.now, "b1")
     drive.now += 3 * SECOND
     start = drive.now
-    if told == "meanwhile":
+    if listed == "meanwhile":
         drive.balancer.update_backends(
             drive.now, [Listing("b1", started_at=start)], whole=False, cached=False
         )
         drive.now += 2 * SECOND
     assert drive.balancer.uncordon(drive.now, "b1")
-    if told == "after":
+    if listed == "after":
         drive.balancer.update_backends(drive.now, [Listing("b1", started_at=1)], whole=False, cached=False)
     b = drive.balancer.state.backends["b1"]
     assert drive.balancer.health.capacity(b, drive.now) == pytest.approx(capacity)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -79,10 +79,10 @@
     assert (picks["b0"] > 0.5 * sum(picks.values())) == sharp
 
 
-@pytest.mark.parametrize("told", [None, 0, -5, 1, 10**9])
-def test_any_configured_number_of_agents_is_accepted(told):
-    plain = settings(balancers=told)
-    if told is None:
+@pytest.mark.parametrize("configured", [None, 0, -5, 1, 10**9])
+def test_any_configured_number_of_agents_is_accepted(configured):
+    plain = settings(balancers=configured)
+    if configured is None:
         del plain["balancers"]
     balancer = Balancer(1, plain, 0)
     balancer.update_backends(0, fleet(), whole=True, cached=False)
--- a/tests/test_settings_switch.py
+++ b/tests/test_settings_switch.py
@@ -2,7 +2,8 @@
 
 Each stand-in backend accepts a limited number of connections: one over the limit is refused and closed. It
 runs some requests without answering, like a backend that crashes. How many requests are deferred also depends
-on the speed of the machine; that these are no more than after a fresh start is tested in `test_move.py`.
+on the speed of the machine; that these are no more than after a fresh start is tested in
+`test_deployment_change.py`.
 """
 
 import json
