--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,9 +15,9 @@
 PARTS = [PAYLOAD[n : n + 300] for n in range(0, len(PAYLOAD), 300)]
 CHUNKS = b"".join(b"%X\r\n%b\r\n" % (len(part), part) for part in PARTS)
 FORMS = {
-    "told": (lambda: SizedBody(MAX_BYTES, len(PAYLOAD)), PAYLOAD, PAYLOAD, b"next"),
-    "nothing told": (lambda: SizedBody(MAX_BYTES, 0), b"", b"", b"next"),
-    "to the end": (lambda: BodyUntilClose(MAX_BYTES), PAYLOAD, PAYLOAD, b""),
+    "sized": (lambda: SizedBody(MAX_BYTES, len(PAYLOAD)), PAYLOAD, PAYLOAD, b"next"),
+    "empty": (lambda: SizedBody(MAX_BYTES, 0), b"", b"", b"next"),
+    "until close": (lambda: BodyUntilClose(MAX_BYTES), PAYLOAD, PAYLOAD, b""),
     "chunked": (lambda: ChunkedBody(MAX_BYTES), CHUNKS + b"0\r\n\r\n", PAYLOAD, b"next"),
     "one byte a chunk": (
         lambda: ChunkedBody(MAX_BYTES),
@@ -46,34 +46,34 @@
         return [text]
     if how == "bytes":
         return [text[n : n + 1] for n in range(len(text))]
-    random, found = Random(how), []
+    random, pieces = Random(how), []
     while text:
         size = random.choice((1, 2, 3, 7, 60, 400))
-        found.append(text[:size])
+        pieces.append(text[:size])
         text = text[size:]
-    return found
+    return pieces
 
 
 @pytest.mark.parametrize("how", ["whole", "bytes", *range(8)])
 @pytest.mark.parametrize("form", FORMS)
 def test_body_is_the_same_however_it_is_split(form, how):
-    make, text, payload, following = FORMS[form]
-    body, found, used = make(), b"", 0
+    new_body, text, payload, following = FORMS[form]
+    body, payload_read, used = new_body(), b"", 0
     for piece in split(text + following, how):
         if body.is_complete:
             break
-        found += b"".join(body.feed(memoryview(piece)))
+        payload_read += b"".join(body.feed(memoryview(piece)))
         used += body.consumed_bytes
-    assert found == payload and body.payload_bytes == len(payload)
+    assert payload_read == payload and body.payload_bytes == len(payload)
     assert used == len(text)
     assert body.finish_at_eof() and body.is_complete
 
 
-@pytest.mark.parametrize("form", ["told", "chunked", "trailers"])
+@pytest.mark.parametrize("form", ["sized", "chunked", "trailers"])
 def test_truncated_body_is_not_complete(form):
-    make, text, _, _ = FORMS[form]
+    new_body, text, _, _ = FORMS[form]
     for end in range(len(text)):
-        body = make()
+        body = new_body()
         body.feed(memoryview(text[:end]))
         assert not body.finish_at_eof(), end
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -22,15 +22,21 @@
 from nettledeal.policy.balancer import Balancer
 
 OK = b"HTTP/1.1 200 OK\r\n"
-LONG = bytes(range(256)) * 4 * 1024  # a megabyte
+LONG_BODY = bytes(range(256)) * 4 * 1024  # a megabyte
 
 
 class Agent:
-    def __init__(self, *backends, memory=2_000_000, longest=40_000_000, most=32):
+    def __init__(self, *backends, memory=2_000_000, max_body_bytes=40_000_000, max_connections=32):
         self.clock, self.counters = Clock(), Counters()
         self.requests, self.answers = MemoryPool(memory), MemoryPool(memory)
         self.pools = BackendPools(
-            self.clock, self.counters, ConnectionBudget(most), self.answers, longest, SECOND, 60 * SECOND
+            self.clock,
+            self.counters,
+            ConnectionBudget(max_connections),
+            self.answers,
+            max_body_bytes,
+            SECOND,
+            60 * SECOND,
         )
         self.router = Router(
             Balancer(1, settings(), self.clock.now()),
@@ -46,18 +52,18 @@
             subscribe=lambda: None,
         )
         names = [f"b{n}" for n in range(len(backends))]
-        places = dict(zip(names, (far.address for far in backends), strict=True))
-        self.router.start(CatalogueUpdate(1, True, [Listing(name) for name in names], places))
+        addresses = dict(zip(names, (far.address for far in backends), strict=True))
+        self.router.start(CatalogueUpdate(1, True, [Listing(name) for name in names], addresses))
         self.listener = Listener(
             ("127.0.0.1", 0),
             self.clock,
             self.counters,
-            ConnectionBudget(most),
+            ConnectionBudget(max_connections),
             self.requests,
             self.router.submit,
             self.router.client_left,
             self.router.answer_overdue,
-            longest,
+            max_body_bytes,
         )
         gevent.spawn(self.router.run)
         gevent.spawn(self.listener.run)
@@ -72,7 +78,7 @@
         )
 
 
-def ask(body=b"", category=b"write", id=b"r1", more=b"", length=True, version=b"1.1", method=b"POST"):
+def request(body=b"", category=b"write", id=b"r1", more=b"", length=True, version=b"1.1", method=b"POST"):
     head = b"%b /api HTTP/%b\r\nHost: s\r\nX-Request-ID: %b\r\n" % (method, version, id)
     head += b"X-Priority-Class: %b\r\n" % category
     head += b"X-Timeout-Ms: 3000\r\n" + more
@@ -107,47 +113,50 @@
     return seen
 
 
-def payload(text):
+def decode_body(text):
     head, _, body = text.partition(b"\r\n\r\n")
     if b"transfer-encoding: chunked" not in head.lower():
         return body
-    found = b""
+    body_so_far = b""
     while True:
         size, _, body = body.partition(b"\r\n")
         if not int(size, 16):
             assert body == b"\r\n"
-            return found
-        found, body = found + body[: int(size, 16)], body[int(size, 16) + 2 :]
-
-
-ANSWERS = {
-    "told": (served(LONG), False),
-    "chunked": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG, 9_999), False),
-    "small chunks": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG[:100_000], 7), False),
-    "to the end": (OK + b"Connection: close\r\n\r\n" + LONG, True),
-    "HTTP/1.0": (b"HTTP/1.0 200 OK\r\n\r\n" + LONG, True),
+            return body_so_far
+        body_so_far, body = body_so_far + body[: int(size, 16)], body[int(size, 16) + 2 :]
+
+
+ANSWER_FORMS = {
+    "sized": (served(LONG_BODY), False),
+    "chunked": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG_BODY, 9_999), False),
+    "small chunks": (
+        OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG_BODY[:100_000], 7),
+        False,
+    ),
+    "until close": (OK + b"Connection: close\r\n\r\n" + LONG_BODY, True),
+    "HTTP/1.0": (b"HTTP/1.0 200 OK\r\n\r\n" + LONG_BODY, True),
 }
 
 
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-@pytest.mark.parametrize("form", ANSWERS)
+@pytest.mark.parametrize("form", ANSWER_FORMS)
 def test_long_answer_reaches_the_client_unchanged(form, version):
-    text, close = ANSWERS[form]
+    text, close = ANSWER_FORMS[form]
     agent = Agent(Far(responds(text, close=close)))
-    client = agent.connect().send(ask(more=b"Connection: close\r\n", version=version))
+    client = agent.connect().send(request(more=b"Connection: close\r\n", version=version))
     seen = read_to_end(client)
-    assert payload(seen) == (LONG[:100_000] if form == "small chunks" else LONG)
+    assert decode_body(seen) == (LONG_BODY[:100_000] if form == "small chunks" else LONG_BODY)
     assert until(lambda: agent.is_idle)
     # After a complete response the connection can be reused.
     assert agent.pools.budget.in_use == (not close)
 
 
 def test_connections_are_reused_after_a_long_answer():
-    far = Far(responds(served(LONG)))
+    far = Far(responds(served(LONG_BODY)))
     agent = Agent(far)
     client = agent.connect()
     for n in range(3):
-        assert client.send(ask(id=b"r%d" % n)).hear().endswith(LONG)
+        assert client.send(request(id=b"r%d" % n)).hear().endswith(LONG_BODY)
     assert len(far.peers) == 1 == len(agent.listener.connections)
 
 
@@ -156,16 +165,16 @@
 
     def script(peer):
         peer.hear()
-        peer.send(served(LONG)[:70_000])
+        peer.send(served(LONG_BODY)[:70_000])
         go.wait()
-        peer.send(served(LONG)[70_000:])
+        peer.send(served(LONG_BODY)[70_000:])
 
     agent = Agent(Far(script))
-    client = agent.connect().send(ask().replace(b"3000", b"100"))
+    client = agent.connect().send(request().replace(b"3000", b"100"))
     assert client.sock.recv(100).startswith(OK)
     gevent.sleep(0.15)  # past its expiry: a response that is still arriving isn't cut off
     go.set()
-    assert len(read_length(client, len(LONG))) >= len(LONG) - 100
+    assert len(read_length(client, len(LONG_BODY))) >= len(LONG_BODY) - 100
 
 
 def read_length(client, count):
@@ -179,23 +188,26 @@
     head = OK + b"Transfer-Encoding: chunked\r\n\r\n"
     far = Far(responds(head + b"2\r\nab\r\n", b"2\r\ncd\r\n", b"0\r\n\r\n", pause=0.06))
     agent = Agent(far)
-    seen = agent.connect().send(ask(more=b"Connection: close\r\n"))
-    assert payload(read_to_end(seen)) == b"abcd"
+    seen = agent.connect().send(request(more=b"Connection: close\r\n"))
+    assert decode_body(read_to_end(seen)) == b"abcd"
 
 
 @pytest.mark.parametrize(
     "text",
     [
-        served(LONG)[:500_000],
-        OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG, 9_999)[:500_000],
-        OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG, 9_999)[:500_000] + b"\r\nnoise\r\n",
+        served(LONG_BODY)[:500_000],
+        OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG_BODY, 9_999)[:500_000],
+        OK
+        + b"Transfer-Encoding: chunked\r\n\r\n"
+        + encode_chunks(LONG_BODY, 9_999)[:500_000]
+        + b"\r\nnoise\r\n",
     ],
 )
 def test_broken_response_is_visible_to_the_client_and_not_retried(text):
     fars = [Far(responds(text, close=True)) for _ in range(2)]
     agent = Agent(*fars)
-    seen = read_to_end(agent.connect().send(ask(category=b"read")))
-    assert seen.startswith(OK) and len(seen) < len(LONG)
+    seen = read_to_end(agent.connect().send(request(category=b"read")))
+    assert seen.startswith(OK) and len(seen) < len(LONG_BODY)
     assert not seen.endswith(b"0\r\n\r\n")
     assert sum(len(far.peers) for far in fars) == 1
     assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
@@ -214,7 +226,7 @@
     agent = Agent(Far(script))
     client = agent.connect()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
-    client.send(ask())
+    client.send(request())
     assert client.sock.recv(100)
     gevent.sleep(0.1)
     assert sent[0] < 15_000_000
@@ -237,7 +249,7 @@
         gevent.sleep(60)
 
     agent = Agent(Far(script))
-    client = agent.connect().send(ask())
+    client = agent.connect().send(request())
     assert until(lambda: agent.counters["relays of answers stalled"] == 1)
     assert until(lambda: not agent.pools.budget.in_use)
     client.sock.close()
@@ -245,9 +257,9 @@
 
 def test_body_beyond_the_limit_fails_within_bounded_memory():
     agent = Agent(
-        Far(responds(OK + b"Content-Length: 3000000000\r\n\r\n" + bytes(90_000))), longest=2_000_000
+        Far(responds(OK + b"Content-Length: 3000000000\r\n\r\n" + bytes(90_000))), max_body_bytes=2_000_000
     )
-    assert agent.connect().send(ask()).hear().startswith(b"HTTP/1.1 502 ")
+    assert agent.connect().send(request()).hear().startswith(b"HTTP/1.1 502 ")
 
     def endless(peer):
         peer.hear()
@@ -255,8 +267,8 @@
         while True:
             peer.send(b"2000\r\n" + bytes(8192) + b"\r\n")
 
-    agent = Agent(Far(endless), longest=500_000)
-    seen = read_to_end(agent.connect().send(ask()))
+    agent = Agent(Far(endless), max_body_bytes=500_000)
+    seen = read_to_end(agent.connect().send(request()))
     assert len(seen) < 600_000 and not seen.endswith(b"0\r\n\r\n")
 
 
@@ -265,11 +277,11 @@
 
     def long_answer(peer):
         asked.append(peer.hear())
-        peer.send(served(32 * LONG))  # more than fits the buffers of a connection
+        peer.send(served(32 * LONG_BODY))  # more than fits the buffers of a connection
         gevent.sleep(60)
 
     agent = Agent(Far(long_answer))
-    client = agent.connect().send(ask())
+    client = agent.connect().send(request())
     # Only after the attempt was sent: nothing is sent for a client that has already disconnected.
     assert until(lambda: asked)
     client.sock.close()
@@ -293,13 +305,13 @@
                 rest += more
             head, _, rest = rest.partition(b"\r\n\r\n")
             self.heads.append(head)
-            body, rest, whole = self._body(peer, head, rest)
-            if not whole:
+            body, rest, is_complete = self._read_body(peer, head, rest)
+            if not is_complete:
                 return
             self.bodies.append(body)
             peer.send(served(b"%d" % len(body)))
 
-    def _body(self, peer, head, rest):
+    def _read_body(self, peer, head, rest):
         chunked = b"transfer-encoding: chunked" in head.lower()
         length = 0
         for line in head.lower().split(b"\r\n"):
@@ -317,26 +329,26 @@
                 return b"", b"", False
             rest += more
         if chunked:
-            return payload(head + b"\r\n\r\n" + rest), b"", True
+            return decode_body(head + b"\r\n\r\n" + rest), b"", True
         return rest[:length], rest[length:], True
 
 
-@pytest.mark.parametrize("form", ["told", "chunked", "told, asked first"])
-@pytest.mark.parametrize("size", [70_000, len(LONG)])
+@pytest.mark.parametrize("form", ["sized", "chunked", "sized, expect continue"])
+@pytest.mark.parametrize("size", [70_000, len(LONG_BODY)])
 def test_long_request_reaches_the_backend_unchanged(form, size):
     far = Backend()
     agent = Agent(far)
     client = agent.connect()
-    body = LONG[:size]
+    body = LONG_BODY[:size]
     for n in range(2):
         id = b"r%d" % n
-        if form == "told":
-            client.send(ask(body, id=id))
+        if form == "sized":
+            client.send(request(body, id=id))
         elif form == "chunked":
-            head = ask(id=id, more=b"Transfer-Encoding: chunked\r\n", length=False)
+            head = request(id=id, more=b"Transfer-Encoding: chunked\r\n", length=False)
             client.send(head + encode_chunks(body, 5_000))
         else:
-            text = ask(body, id=id, more=b"Expect: 100-continue\r\n")
+            text = request(body, id=id, more=b"Expect: 100-continue\r\n")
             client.send(text[:-size])
             assert client.hear().startswith(b"HTTP/1.1 100 ")
             client.send(text[-size:])
@@ -348,17 +360,17 @@
 def test_request_pipelined_after_a_long_one_is_not_lost():
     far = Backend()
     agent = Agent(far)
-    client = agent.connect().send(ask(LONG, id=b"r1") + ask(b"two", id=b"r2"))
+    client = agent.connect().send(request(LONG_BODY, id=b"r1") + request(b"two", id=b"r2"))
     seen = client.hear(end=b"Content-Length: 1")
     while seen.count(b"HTTP/1.1 200") < 2:
         seen += client.sock.recv(1000)
-    assert until(lambda: far.bodies == [LONG, b"two"])
+    assert until(lambda: far.bodies == [LONG_BODY, b"two"])
 
 
 def test_timeout_of_an_upload_starts_at_its_last_byte():
     far = Backend()
     agent = Agent(far)
-    text = ask(LONG[:100_000]).replace(b"3000", b"150")
+    text = request(LONG_BODY[:100_000]).replace(b"3000", b"150")
     client = agent.connect().send(text[:60_000])
     gevent.sleep(0.2)  # more than it may wait for the answer
     assert client.send(text[60_000:]).hear().endswith(b"100000")
@@ -370,7 +382,7 @@
     fars = [Backend(stop_after=200_000) for _ in range(2)]
     agent = Agent(*fars)
     client = agent.connect()
-    writer = gevent.spawn(client.send, ask(LONG))
+    writer = gevent.spawn(client.send, request(LONG_BODY))
     assert client.hear().startswith(b"HTTP/1.1 503 ")
     writer.join(5)
     assert writer.successful(), "the rest of the upload was read; otherwise there would have been a reset"
@@ -382,7 +394,7 @@
     full = served(b"", status=b"503 Full", more=b"X-Not-Processed: 1\r\n")
     agent = Agent(Backend(answer=full, stop_after=200_000))
     client = agent.connect()
-    gevent.spawn(client.send, ask(LONG))
+    gevent.spawn(client.send, request(LONG_BODY))
     assert client.hear().startswith(b"HTTP/1.1 503 ")
     assert until(lambda: agent.is_idle)
 
@@ -397,7 +409,7 @@
 
     agent = Agent(Far(script), Far(script))
     client = agent.connect()
-    writer = gevent.spawn(client.send, ask(bytes(30_000_000)))
+    writer = gevent.spawn(client.send, request(bytes(30_000_000)))
     assert client.hear().startswith(b"HTTP/1.1 503 ")
     assert len(reached) == 1
     writer.kill()
@@ -412,8 +424,8 @@
     down = type("Down", (), {"address": dead.getsockname()})
     agent = Agent(down, down, far)
     for n in range(8):
-        assert agent.connect().send(ask(LONG, id=b"r%d" % n)).hear().endswith(b"%d" % len(LONG))
-    assert far.bodies == [LONG] * 8
+        assert agent.connect().send(request(LONG_BODY, id=b"r%d" % n)).hear().endswith(b"%d" % len(LONG_BODY))
+    assert far.bodies == [LONG_BODY] * 8
 
 
 @pytest.mark.parametrize("end", ["closes", "stops", "garbles"])
@@ -423,13 +435,13 @@
     far = Backend()
     agent = Agent(far)
     if end == "garbles":
-        text = ask(more=b"Transfer-Encoding: chunked\r\n", length=False) + encode_chunks(
-            LONG[:300_000], 5_000
+        text = request(more=b"Transfer-Encoding: chunked\r\n", length=False) + encode_chunks(
+            LONG_BODY[:300_000], 5_000
         )
         client = agent.connect().send(text.removesuffix(b"0\r\nX-T: 1\r\n\r\n") + b"zz\r\n\r\n")
         assert client.hear().startswith(b"HTTP/1.1 400 ")
     else:
-        client = agent.connect().send(ask(LONG)[:300_000])
+        client = agent.connect().send(request(LONG_BODY)[:300_000])
         if end == "closes":
             client.sock.close()
         else:
@@ -442,15 +454,15 @@
 
 def test_slow_uploads_hold_only_their_first_bytes_and_one_buffer():
     far = Backend()
-    agent = Agent(far, most=64)
+    agent = Agent(far, max_connections=64)
     clients = []
     while len(clients) < 20:
-        clients.append(agent.connect().send(ask(LONG, id=b"r%d" % len(clients))[:100_000]))
+        clients.append(agent.connect().send(request(LONG_BODY, id=b"r%d" % len(clients))[:100_000]))
         assert until(lambda: len(far.heads) == len(clients))
     gevent.sleep(0.02)
     assert agent.requests.used_bytes <= 20 * 100 * 1024
     # Usual clients are still served.
-    assert agent.connect().send(ask(b"hi", id=b"usual")).hear().endswith(b"2")
+    assert agent.connect().send(request(b"hi", id=b"usual")).hear().endswith(b"2")
     for client in clients:
         client.sock.close()
     assert until(lambda: agent.is_idle)
@@ -464,7 +476,7 @@
 
     client = Agent(Far(script)).connect()
     for n in range(2):
-        client.send(ask(id=b"r%d" % n, method=b"HEAD", length=False, category=b"read"))
+        client.send(request(id=b"r%d" % n, method=b"HEAD", length=False, category=b"read"))
         seen = b""
         while b"\r\n\r\n" not in seen:
             seen += client.sock.recv(4096)
@@ -485,23 +497,23 @@
             long = b"ID: reader" in heard
             peer.send(OK + b"Content-Length: 9000000\r\n\r\n" + bytes(9_000_000) if long else served(b"ok"))
 
-    agent = Agent(Far(script), Far(script), most=48, memory=8_000_000)
+    agent = Agent(Far(script), Far(script), max_connections=48, memory=8_000_000)
     agent.pools.crowded = lambda: agent.listener.crowded
     slow = []
     for n in range(240):
         client = agent.connect()
         match n % 3:
             case 0:  # sends half of a long body and no more
-                client.send(ask(LONG, id=b"writer%d" % n)[:70_000])
+                client.send(request(LONG_BODY, id=b"writer%d" % n)[:70_000])
             case 1:  # reads nothing of a long answer
-                client.send(ask(id=b"reader%d" % n))
+                client.send(request(id=b"reader%d" % n))
             case 2:  # sends an incomplete head
                 client.send(b"POST /api HTTP/1.1\r\nX-Req")
         slow.append(client)
         if n % 12 == 0:
             gevent.sleep(0.06)
             usual = agent.connect()
-            heard = usual.send(ask(b"hi", id=b"usual%d" % n)).hear()
+            heard = usual.send(request(b"hi", id=b"usual%d" % n)).hear()
             assert heard.endswith(b"ok"), (n, heard, agent.counters)
             usual.sock.close()
     assert agent.requests.used_bytes < 4_000_000 and agent.answers.used_bytes < 4_000_000
@@ -527,21 +539,21 @@
 
 
 @pytest.mark.parametrize("category", [b"read", b"write"])
-@pytest.mark.parametrize("behind", [b"", ask(id=b"r2"), 100_000 * b"x"])
+@pytest.mark.parametrize("behind", [b"", request(id=b"r2"), 100_000 * b"x"])
 def test_no_attempt_begins_for_a_client_that_has_disconnected(category, behind):
     far = RecordingBackend(served())
     agent = Agent(far)
     # The request and the close are in the kernel before the agent reads for the first time.
-    agent.connect().send(ask(category=category) + behind).sock.close()
+    agent.connect().send(request(category=category) + behind).sock.close()
     assert until(lambda: agent.router.submitted and agent.is_idle)
     assert not far.heard
 
 
-@pytest.mark.parametrize("behind", [b"", ask(id=b"r2"), 60_000 * b"x"])
+@pytest.mark.parametrize("behind", [b"", request(id=b"r2"), 60_000 * b"x"])
 def test_no_further_attempt_begins_after_the_client_has_disconnected(behind):
     backends = RecordingBackend(FULL), RecordingBackend(FULL)
     agent = Agent(*backends)
-    client = agent.connect().send(ask())
+    client = agent.connect().send(request())
     assert until(lambda: any(far.heard for far in backends))
     # Pipelined bytes come before the close and hide it from a peek at the next byte.
     client.send(behind)
@@ -562,7 +574,7 @@
             pass
 
     agent = Agent(Far(swallow))
-    client = agent.connect().send(ask(more=b"Content-Length: 5000000\r\n", length=False) + 200_000 * b"x")
+    client = agent.connect().send(request(more=b"Content-Length: 5000000\r\n", length=False) + 200_000 * b"x")
     assert until(lambda: begun)
     client.sock.close()
     assert until(lambda: agent.is_idle and not agent.pools.budget.in_use)
@@ -578,7 +590,7 @@
         original(connection)
 
     monkeypatch.setattr(BackendConnection, "_connect", late)
-    client = agent.connect().send(ask(category=b"ticket"))
+    client = agent.connect().send(request(category=b"ticket"))
     assert until(lambda: any(far.heard for far in backends))
     heard = agent.clock.now()
     for far in backends:
