--- a/src/nettledeal/net/transport/backend_connection.py
+++ b/src/nettledeal/net/transport/backend_connection.py
@@ -107,8 +107,8 @@
                     # Whoever waits for this exchange must be notified in any case.
                     self.pool.counters.record_exception(f"hand-off to {format_address(self.pool.address)}")
                     reply = self._failed_reply(self.exchange)
-                # Measured from when this connection began the exchange to the arrival of the response: time that
-                # the request waits inside the agent, before or after, must not count as the backend's.
+                # Measured from when this connection began the exchange to the arrival of the response: time
+                # that the request waits inside the agent, before or after, must not count as the backend's.
                 exchange, self.exchange = self.exchange, None
                 if exchange.upload is not None:
                     began_at = max(began_at, exchange.upload.ended_at)
