--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A balancer with plain settings, and short ways to drive it; ends of connections for the agent's tests."""
+"""Shared test helpers: a driver for the balancer, and HTTP clients and servers for the agent's tests."""
 
 from http import HTTPStatus
 
@@ -13,11 +13,11 @@
 from nettledeal.net.transport.listener import Listener
 from nettledeal.policy.balancer import Balancer
 
-SECOND = 10_000
+SECOND = 10_000  # in tenths of a millisecond
 DEFERRED, FAILED = Verdict.DEFERRED, Verdict.FAILED
 
 
-def settings(**changes):
+def balancer_settings(**changes):
     base = {
         "balancers": 2,
         "zone": 0,
@@ -48,25 +48,26 @@
     return base | {name.replace("__", "."): value for name, value in changes.items()}
 
 
-def fleet(zones=(0, 0, 0, 1, 1), **fields):
+def make_listings(zones=(0, 0, 0, 1, 1), **fields):
     return [Listing(f"b{n}", zone=zone, **fields) for n, zone in enumerate(zones)]
 
 
-class Drive:
+# Submits work items to a balancer and reports how their attempts end, on a clock of its own.
+class BalancerDriver:
     def __init__(self, listings=None, seed=1, now=100_000, **changes):
         self.now = now
-        self.balancer = Balancer(seed, settings(**changes), now)
+        self.balancer = Balancer(seed, balancer_settings(**changes), now)
         self.balancer.start(now)
         self.ids = 0
         if listings is None:
-            listings = fleet()
+            listings = make_listings()
         self.balancer.update_backends(now, listings, whole=True, cached=False)
 
-    def take(self, category=0, expiry=20_000, **fields):
+    def submit(self, category=0, expiry=20_000, **fields):
         self.ids += 1
         return self.balancer.submit(self.now, self.ids, category, self.now + expiry, **fields).actions
 
-    def back(self, attempt, outcome=Outcome.FINISHED, after=800, closed=None, report=None):
+    def finish_attempt(self, attempt, outcome=Outcome.FINISHED, after=800, closed=None, report=None):
         self.now += after
         closed = outcome is Outcome.FINISHED if closed is None else closed
         return self.balancer.on_attempt_end(
@@ -83,37 +84,40 @@
 
 
 class ListenerRig:
-    """A listener on loopback, its work items kept for the test to answer; None answers by itself with 200."""
+    """A running listener on loopback that records the requests it accepts.
 
-    def __init__(self, most=8, hold=False, memory=1_000_000):
-        self.taken, self.left, self.late = [], [], []
-        self.hold = hold
+    Each request is answered with 200 at once, or left for the test to answer with `hold_answers`.
+    """
+
+    def __init__(self, max_connections=8, hold_answers=False, memory_bytes=1_000_000):
+        self.accepted, self.disconnected, self.overdue = [], [], []
+        self.hold_answers = hold_answers
         self.counters = Counters()
         self.listener = Listener(
             ("127.0.0.1", 0),
             Clock(),
             self.counters,
-            ConnectionBudget(most),
-            MemoryPool(memory),
+            ConnectionBudget(max_connections),
+            MemoryPool(memory_bytes),
             self.offer,
-            self.left.append,
-            self.late.append,
+            self.disconnected.append,
+            self.overdue.append,
         )
         self.greenlet = gevent.spawn(self.listener.run)
 
     def offer(self, request, at, pending):
         pending.deadline = at + request.timeout
-        self.taken.append((request, at, pending))
-        if not self.hold:
+        self.accepted.append((request, at, pending))
+        if not self.hold_answers:
             pending.put(HTTPStatus.OK, bytes(request.body) or b"served")
-        return len(self.taken)
+        return len(self.accepted)
 
     def connect(self):
-        return Peer(socket.create_connection(self.listener.sock.getsockname()))
+        return PeerConnection(socket.create_connection(self.listener.sock.getsockname()))
 
 
-class Peer:
-    """The other end of a connection, for a test."""
+class PeerConnection:
+    """A test's end of a connection to the code under test."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -123,15 +127,15 @@
         self.sock.sendall(text)
         return self
 
-    def hear(self, end=b"\r\n\r\n"):
-        """A message with the body that its head tells; what has come at the end of the connection."""
-        seen = b""
-        while end not in seen:
+    def receive_message(self, end=b"\r\n\r\n"):
+        """Reads one message with its Content-Length body, or what arrived before the connection closed."""
+        received = b""
+        while end not in received:
             more = self.sock.recv(65536)
             if not more:
-                return seen
-            seen += more
-        head, _, body = seen.partition(b"\r\n\r\n")
+                return received
+            received += more
+        head, _, body = received.partition(b"\r\n\r\n")
         for line in head.split(b"\r\n"):
             if line.lower().startswith(b"content-length:"):
                 while len(body) < int(line[15:]):
@@ -142,28 +146,28 @@
         return head + b"\r\n\r\n" + body
 
 
-def asked(id=b"r1", method=b"POST", body=b"hi", target=b"/api", more=b""):
+def request_bytes(id=b"r1", method=b"POST", body=b"hi", target=b"/api", more=b""):
     length = b"Content-Length: %d\r\n" % len(body) if body else b""
     head = b"%b %b HTTP/1.1\r\nHost: s\r\nX-Request-ID: %b\r\nX-Priority-Class: b\r\n" % (method, target, id)
     return head + b"X-Timeout-Ms: 4000\r\n" + more + length + b"\r\n" + body
 
 
-def free_place():
+def free_address():
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()
 
 
-def until(condition, seconds=5.0):
-    """Lets other greenlets run until the condition holds; a test that would hang fails instead."""
+def wait_until(condition, seconds=5.0):
+    """Yields to other greenlets until the condition holds; raises gevent.Timeout instead of hanging."""
     with gevent.Timeout(seconds):
         while not condition():
             gevent.sleep(0.001)
     return True
 
 
-class Far:
-    """A peer to connect to: the n-th connection gets the n-th script, further ones the last."""
+class ScriptedServer:
+    """Runs the n-th script on the n-th connection, and the last one on any further connection."""
 
     def __init__(self, *scripts, address=("127.0.0.1", 0)):
         self.scripts = list(scripts)
@@ -177,19 +181,19 @@
 
     def _serve(self):
         while True:
-            peer = Peer(self.sock.accept()[0])
+            peer = PeerConnection(self.sock.accept()[0])
             self.peers.append(peer)
             gevent.spawn(self.scripts[min(len(self.peers), len(self.scripts)) - 1], peer)
 
 
-def replies(*texts, close=False):
-    """Hears a request and sends the next text, for each of them; the last of them over and over."""
+def reply_script(*texts, close=False):
+    """A script that answers the n-th request with the n-th text, and any further request with the last."""
 
     def script(peer):
-        peer.heard = []
-        while heard := peer.hear():
-            peer.heard.append(heard)
-            peer.send(texts[min(len(peer.heard), len(texts)) - 1])
+        peer.received = []
+        while received := peer.receive_message():
+            peer.received.append(received)
+            peer.send(texts[min(len(peer.received), len(texts)) - 1])
             if close:
                 peer.sock.close()
                 return
@@ -197,5 +201,5 @@
     return script
 
 
-def served(body=b"served", status=b"200 OK", more=b""):
+def response_bytes(body=b"served", status=b"200 OK", more=b""):
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), more, body)
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -1,7 +1,7 @@
 import gevent
 import pytest
 from gevent import socket
-from helpers import Peer, until
+from helpers import PeerConnection, wait_until
 
 from nettledeal.net.counters import Counters
 from nettledeal.net.protocol import admin_commands
@@ -65,10 +65,10 @@
         return command.argument
 
     def connect(self):
-        return Peer(socket.create_connection(self.admin_server.sock.getsockname()))
+        return PeerConnection(socket.create_connection(self.admin_server.sock.getsockname()))
 
     def call(self, text):
-        return self.connect().send(text).hear(end=b"never")
+        return self.connect().send(text).receive_message(end=b"never")
 
 
 def test_command_is_answered_once_it_is_carried_out():
@@ -91,7 +91,7 @@
     rig = AdminRig()
     caller = rig.connect().send(text)
     caller.sock.shutdown(socket.SHUT_WR)
-    assert caller.hear(end=b"never")[:4] in (b"", b"-ERR")
+    assert caller.receive_message(end=b"never")[:4] in (b"", b"-ERR")
     assert not rig.commands
 
 
@@ -101,22 +101,22 @@
     for n in b"cordon s-1\n":
         caller.send(bytes((n,)))
         gevent.sleep(0)
-    assert caller.hear(end=b"never") == b"+OK s-1\n"
+    assert caller.receive_message(end=b"never") == b"+OK s-1\n"
 
 
 def test_silent_callers_do_not_block_others():
     rig = AdminRig()
     silent = [rig.connect() for _ in range(3 * admin_server_module.MAX_ADMIN_CALLERS)]
     assert rig.call(b"health\n") == b"+OK\n"
-    assert until(lambda: rig.admin_server.open_callers <= admin_server_module.MAX_ADMIN_CALLERS)
-    assert silent[0].hear(end=b"never") == b""
+    assert wait_until(lambda: rig.admin_server.open_callers <= admin_server_module.MAX_ADMIN_CALLERS)
+    assert silent[0].receive_message(end=b"never") == b""
 
 
 def test_silent_caller_is_disconnected(monkeypatch):
     monkeypatch.setattr(admin_server_module, "LINE_TIMEOUT_S", 0.01)
     rig = AdminRig()
-    assert rig.connect().hear(end=b"never") == b""
-    assert until(lambda: not rig.admin_server.open_callers)
+    assert rig.connect().receive_message(end=b"never") == b""
+    assert wait_until(lambda: not rig.admin_server.open_callers)
 
 
 def test_command_not_carried_out_in_time_is_refused(monkeypatch):
--- a/tests/test_backend_pools.py
+++ b/tests/test_backend_pools.py
@@ -5,7 +5,7 @@
 from gevent import socket
 from gevent.event import Event
 from gevent.queue import SimpleQueue
-from helpers import SECOND, Far, replies, served, until
+from helpers import SECOND, ScriptedServer, reply_script, response_bytes, wait_until
 
 from nettledeal.model import Outcome
 from nettledeal.net.clock import MAX_POLL_NS, Clock
@@ -41,7 +41,7 @@
 
     def send(self, **fields):
         _, replies_received = self.start(**fields)
-        assert until(lambda: replies_received)
+        assert wait_until(lambda: replies_received)
         return replies_received[0]
 
     @property
@@ -50,7 +50,7 @@
 
 
 def never_answer(peer):
-    peer.hear()
+    peer.receive_message()
     gevent.sleep(60)
 
 
@@ -67,69 +67,91 @@
 
 
 def close_after_request(peer):
-    peer.hear()
+    peer.receive_message()
     peer.sock.close()
 
 
 @pytest.mark.parametrize(
     ("script", "outcome", "body"),
     [
-        (replies(served(b"42")), Outcome.FINISHED, b"42"),
-        (replies(CHUNKED + b"2\r\n42\r\n0\r\n\r\n"), Outcome.FINISHED, b"42"),
-        (replies(served(64 * 1024 * b"x")), Outcome.FINISHED, 64 * 1024 * b"x"),
-        (replies(served(status=b"500 Oops")), Outcome.ERROR, None),
-        (replies(served(status=b"404 What")), Outcome.ERROR, None),
-        (replies(served(status=b"503 Full", more=b"X-Not-Processed: 1\r\n")), Outcome.FULL, None),
-        (replies(served(status=b"504 Late", more=b"X-Not-Processed: 1\r\n")), Outcome.FULL, None),
+        (reply_script(response_bytes(b"42")), Outcome.FINISHED, b"42"),
+        (reply_script(CHUNKED + b"2\r\n42\r\n0\r\n\r\n"), Outcome.FINISHED, b"42"),
+        (reply_script(response_bytes(64 * 1024 * b"x")), Outcome.FINISHED, 64 * 1024 * b"x"),
+        (reply_script(response_bytes(status=b"500 Oops")), Outcome.ERROR, None),
+        (reply_script(response_bytes(status=b"404 What")), Outcome.ERROR, None),
+        (
+            reply_script(response_bytes(status=b"503 Full", more=b"X-Not-Processed: 1\r\n")),
+            Outcome.FULL,
+            None,
+        ),
+        (
+            reply_script(response_bytes(status=b"504 Late", more=b"X-Not-Processed: 1\r\n")),
+            Outcome.FULL,
+            None,
+        ),
         # Only this header proves that it never ran, and only with these statuses.
-        (replies(served(status=b"503 Full")), Outcome.ERROR, None),
-        (replies(served(status=b"503 Full", more=b"X-Not-Processed: 0\r\n")), Outcome.ERROR, None),
-        (replies(served(status=b"500 Oops", more=b"X-Not-Processed: 1\r\n")), Outcome.ERROR, None),
+        (reply_script(response_bytes(status=b"503 Full")), Outcome.ERROR, None),
+        (
+            reply_script(response_bytes(status=b"503 Full", more=b"X-Not-Processed: 0\r\n")),
+            Outcome.ERROR,
+            None,
+        ),
+        (
+            reply_script(response_bytes(status=b"500 Oops", more=b"X-Not-Processed: 1\r\n")),
+            Outcome.ERROR,
+            None,
+        ),
         # A request with an unreadable response may have run.
-        (replies(b"garbage\r\n\r\n"), Outcome.RESET, None),
-        (replies(OK + b"Content-Length: 3000000000\r\n\r\n" + 999 * b"x"), Outcome.RESET, None),
+        (reply_script(b"garbage\r\n\r\n"), Outcome.RESET, None),
+        (reply_script(OK + b"Content-Length: 3000000000\r\n\r\n" + 999 * b"x"), Outcome.RESET, None),
         (
-            replies(CHUNKED + 9 * (b"1000\r\n%b\r\n" % bytes(4096)) + b"0\r\n\r\n"),
+            reply_script(CHUNKED + 9 * (b"1000\r\n%b\r\n" % bytes(4096)) + b"0\r\n\r\n"),
             Outcome.FINISHED,
             bytes(9 * 4096),
         ),
         # No body, whatever length is declared.
-        (replies(served(b"", status=b"204 None")), Outcome.ERROR, None),
-        (replies(b"HTTP/1.1 304 Same\r\nContent-Length: 900\r\n\r\n"), Outcome.ERROR, None),
+        (reply_script(response_bytes(b"", status=b"204 None")), Outcome.ERROR, None),
+        (reply_script(b"HTTP/1.1 304 Same\r\nContent-Length: 900\r\n\r\n"), Outcome.ERROR, None),
         # Up to the end of the connection, if that is announced.
         (
-            replies(OK + b"Connection: a, Close \r\n\r\nup to the end", close=True),
+            reply_script(OK + b"Connection: a, Close \r\n\r\nup to the end", close=True),
+            Outcome.FINISHED,
+            b"up to the end",
+        ),
+        (
+            reply_script(b"HTTP/1.0 200 OK\r\n\r\nup to the end", close=True),
             Outcome.FINISHED,
             b"up to the end",
         ),
-        (replies(b"HTTP/1.0 200 OK\r\n\r\nup to the end", close=True), Outcome.FINISHED, b"up to the end"),
-        (replies(OK + b"CONTENT-length:\t2 \t\r\n\r\n42"), Outcome.FINISHED, b"42"),
+        (reply_script(OK + b"CONTENT-length:\t2 \t\r\n\r\n42"), Outcome.FINISHED, b"42"),
         (
-            replies(OK + b"Transfer-encoding:Chunked \r\n\r\n1;a=b\r\n4\r\n1\r\n2\r\n0\r\nX: 1\r\n\r\n"),
+            reply_script(OK + b"Transfer-encoding:Chunked \r\n\r\n1;a=b\r\n4\r\n1\r\n2\r\n0\r\nX: 1\r\n\r\n"),
             Outcome.FINISHED,
             b"42",
         ),
         # Interim responses and load reports are no part of the response.
         (
-            replies(b"HTTP/1.1 103 Early\r\nLink: a\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" + served(b"42")),
+            reply_script(
+                b"HTTP/1.1 103 Early\r\nLink: a\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" + response_bytes(b"42")
+            ),
             Outcome.FINISHED,
             b"42",
         ),
-        (replies(9 * b"HTTP/1.1 102 Wait\r\n\r\n"), Outcome.RESET, None),
-        (replies(served(b"42", more=b"X-Server-Load: \x01\x00\r\n")), Outcome.FINISHED, b"42"),
-        (replies(served(b"42", more=b"X-Other: \x01\x00\r\n")), Outcome.RESET, None),
-        (replies(CHUNKED + b"2\r\n42\r\n0\r\n\r\nnoise"), Outcome.FINISHED, b"42"),
-        (replies(CHUNKED + b"2\r\n42\r\nzz\r\n42\r\n"), Outcome.RESET, None),
-        (replies(CHUNKED + b"2\r\n42", close=True), Outcome.RESET, None),
-        (replies(OK + b"Content-Length: 2\nX: 1\r\n\r\n42"), Outcome.RESET, None),
-        (replies(OK + b"Content-Length: 9\r\n\r\nshort", close=True), Outcome.RESET, None),
-        (replies(OK + b"\r\nup to the end", close=True), Outcome.RESET, None),
-        (replies(OK + b"X: " + 20_000 * b"x", close=True), Outcome.RESET, None),
+        (reply_script(9 * b"HTTP/1.1 102 Wait\r\n\r\n"), Outcome.RESET, None),
+        (reply_script(response_bytes(b"42", more=b"X-Server-Load: \x01\x00\r\n")), Outcome.FINISHED, b"42"),
+        (reply_script(response_bytes(b"42", more=b"X-Other: \x01\x00\r\n")), Outcome.RESET, None),
+        (reply_script(CHUNKED + b"2\r\n42\r\n0\r\n\r\nnoise"), Outcome.FINISHED, b"42"),
+        (reply_script(CHUNKED + b"2\r\n42\r\nzz\r\n42\r\n"), Outcome.RESET, None),
+        (reply_script(CHUNKED + b"2\r\n42", close=True), Outcome.RESET, None),
+        (reply_script(OK + b"Content-Length: 2\nX: 1\r\n\r\n42"), Outcome.RESET, None),
+        (reply_script(OK + b"Content-Length: 9\r\n\r\nshort", close=True), Outcome.RESET, None),
+        (reply_script(OK + b"\r\nup to the end", close=True), Outcome.RESET, None),
+        (reply_script(OK + b"X: " + 20_000 * b"x", close=True), Outcome.RESET, None),
         (close_after_request, Outcome.RESET, None),
     ],
 )
 def test_outcome_and_body_of_each_response(script, outcome, body):
-    reply = PoolRig(Far(script).address).send()
+    reply = PoolRig(ScriptedServer(script).address).send()
     assert reply.outcome is outcome
     if body is not None:
         assert bytes(reply.body) == body
@@ -137,11 +159,11 @@
 
 def test_response_time_is_measured_where_the_response_is_read():
     def answer_late(peer):
-        while peer.hear():
+        while peer.receive_message():
             gevent.sleep(0.03)
-            peer.send(served())
+            peer.send(response_bytes())
 
-    rig = PoolRig(Far(answer_late).address)
+    rig = PoolRig(ScriptedServer(answer_late).address)
     for _ in range(2):
         assert rig.send().duration >= 300
 
@@ -185,19 +207,19 @@
     monkeypatch.setattr("nettledeal.net.clock.time", fake_time)
     clock, seen = Clock(), []
     clock.track_loop()
-    near, far = socket.socketpair()
-    gevent.spawn(lambda: (far.recv(1), seen.append((clock.arrival_time(), clock.now()))))
+    near, server = socket.socketpair()
+    gevent.spawn(lambda: (server.recv(1), seen.append((clock.arrival_time(), clock.now()))))
     gevent.sleep(0.001)
     near.sendall(b"x")
     fake_time.now_ns += 100_000_000  # the loop is busy
-    assert until(lambda: seen)
+    assert wait_until(lambda: seen)
     # By half of the time, as it may have arrived at any moment in between.
     assert seen == [(500, 1000)]
 
 
 def test_timeout_closes_the_connection():
-    far = Far(never_answer, replies(served()))
-    rig = PoolRig(far.address)
+    server = ScriptedServer(never_answer, reply_script(response_bytes()))
+    rig = PoolRig(server.address)
     assert rig.send(wait=200).outcome is Outcome.TIMED_OUT
     # A late response on that connection must not be taken for the next one.
     assert rig.send().outcome is Outcome.FINISHED
@@ -205,9 +227,9 @@
 
 
 def test_refused_connection_is_unreachable():
-    far = Far(never_answer)
-    far.sock.close()
-    assert PoolRig(far.address).send().outcome is Outcome.UNREACHABLE
+    server = ScriptedServer(never_answer)
+    server.sock.close()
+    assert PoolRig(server.address).send().outcome is Outcome.UNREACHABLE
 
 
 def test_connect_timeout_is_unreachable():
@@ -231,7 +253,7 @@
 
 def test_lost_connect_is_given_up_well_before_the_limit():
     sock, _pending = unconnectable_socket()
-    rig = PoolRig(Far(replies(served())).address)
+    rig = PoolRig(ScriptedServer(reply_script(response_bytes())).address)
     rig.send()
     rig.pools.set_address("lost", sock.getsockname())
     reply = rig.send(backend="lost", wait=20 * SECOND)
@@ -239,29 +261,29 @@
 
 
 def test_expired_exchange_is_not_sent_and_opens_no_connection():
-    far = Far(replies(served(b"42")))
-    rig = PoolRig(far.address)
+    server = ScriptedServer(reply_script(response_bytes(b"42")))
+    rig = PoolRig(server.address)
     # An agent short of CPU may get to an exchange after its deadline: it would be started for nobody.
     assert rig.send(wait=0).outcome is Outcome.UNSENT
-    assert not far.peers
+    assert not server.peers
     assert rig.send().outcome is Outcome.FINISHED
     assert rig.send(wait=0).outcome is Outcome.UNSENT
     assert rig.send().outcome is Outcome.FINISHED
-    assert len(far.peers) == 1 and len(far.peers[0].heard) == 2
+    assert len(server.peers) == 1 and len(server.peers[0].received) == 2
     assert rig.counters["hand-offs late before they were sent"] == 2
 
 
 def test_partly_written_body_is_unreachable():
     # The peer reads nothing and the body exceeds the kernel's buffers: its last byte is never written.
-    rig = PoolRig(Far(lambda peer: gevent.sleep(60)).address)
+    rig = PoolRig(ScriptedServer(lambda peer: gevent.sleep(60)).address)
     assert rig.send(wait=2000, body=bytes(30_000_000)).outcome is Outcome.UNREACHABLE
 
 
 def test_most_recently_used_connection_is_reused_first():
-    far = Far(replies(served()))
-    rig = PoolRig(far.address)
+    server = ScriptedServer(reply_script(response_bytes()))
+    rig = PoolRig(server.address)
     waiting = [rig.start()[1] for _ in range(3)]
-    assert until(lambda: all(waiting))
+    assert wait_until(lambda: all(waiting))
     last = rig.pools.pools["b"].idle[-1]
     rig.send()
     assert rig.connections_opened == 3
@@ -271,14 +293,14 @@
 @pytest.mark.parametrize(
     "first",
     [
-        replies(served(more=b"Connection: close\r\n")),
-        replies(served(), close=True),
-        replies(served() + b"left over"),
-        replies(CHUNKED + b"6\r\nserved\r\n0\r\n\r\n" + served(b"copy")),
+        reply_script(response_bytes(more=b"Connection: close\r\n")),
+        reply_script(response_bytes(), close=True),
+        reply_script(response_bytes() + b"left over"),
+        reply_script(CHUNKED + b"6\r\nserved\r\n0\r\n\r\n" + response_bytes(b"copy")),
     ],
 )
 def test_ended_connection_or_one_with_stray_bytes_is_not_reused(first):
-    rig = PoolRig(Far(first, replies(served(b"second"))).address)
+    rig = PoolRig(ScriptedServer(first, reply_script(response_bytes(b"second"))).address)
     assert rig.send().outcome is Outcome.FINISHED
     gevent.sleep(0.01)
     assert bytes(rig.send().body) == b"second"
@@ -287,43 +309,43 @@
 
 def test_break_on_a_reused_connection_is_a_reset_and_not_resent():
     def once(peer):
-        peer.hear()
-        peer.send(served())
-        peer.hear()
+        peer.receive_message()
+        peer.send(response_bytes())
+        peer.receive_message()
         peer.sock.close()
 
-    far = Far(once, replies(served()))
-    rig = PoolRig(far.address)
+    server = ScriptedServer(once, reply_script(response_bytes()))
+    rig = PoolRig(server.address)
     assert rig.send().outcome is Outcome.FINISHED
     # The pool doesn't retry by itself: the backend had the whole request.
     assert rig.send().outcome is Outcome.RESET
-    assert len(far.peers) == 1
+    assert len(server.peers) == 1
 
 
 def test_idle_connections_are_closed_well_before_the_backend_closes_them():
-    rig = PoolRig(Far(replies(served())).address, idle=400)
+    rig = PoolRig(ScriptedServer(reply_script(response_bytes())).address, idle=400)
     rig.send()
     assert rig.pools.max_idle <= 200
-    assert until(lambda: not rig.pools.budget.in_use)
+    assert wait_until(lambda: not rig.pools.budget.in_use)
 
 
 def test_cancel_after_writing():
-    far = Far(never_answer)
-    rig = PoolRig(far.address)
+    server = ScriptedServer(never_answer)
+    rig = PoolRig(server.address)
     exchange, replies_received = rig.start()
-    assert until(lambda: exchange.fully_written)
+    assert wait_until(lambda: exchange.fully_written)
     exchange.cancel()
-    assert until(lambda: replies_received)
+    assert wait_until(lambda: replies_received)
     assert replies_received[0].outcome is Outcome.CANCELLED
-    assert until(lambda: not rig.pools.budget.in_use)
+    assert wait_until(lambda: not rig.pools.budget.in_use)
 
 
 @pytest.mark.parametrize("cancels", [False, True])
 def test_connection_is_closed_before_the_result_is_reported(cancels):
-    rig, reply_queue, open_then = PoolRig(Far(never_answer).address), SimpleQueue(), []
+    rig, reply_queue, open_then = PoolRig(ScriptedServer(never_answer).address), SimpleQueue(), []
     exchange = Exchange([HEAD], rig.pools.clock.now() + SECOND // 20, reply_queue.put)
     assert rig.pools.send("b", exchange)
-    assert until(lambda: exchange.fully_written)
+    assert wait_until(lambda: exchange.fully_written)
     sock = exchange.connection.sock._sock
 
     def retry():
@@ -334,14 +356,14 @@
     gevent.spawn(retry)
     if cancels:
         exchange.cancel()
-    assert until(lambda: open_then)
+    assert wait_until(lambda: open_then)
     assert open_then == [False]
 
 
 @pytest.mark.parametrize("end", ["cancelled", "removed", "moved"])
 def test_cancelled_or_removed_before_writing_is_unsent(end):
-    far = Far(replies(served()))
-    rig = PoolRig(far.address)
+    server = ScriptedServer(reply_script(response_bytes()))
+    rig = PoolRig(server.address)
     exchange, replies_received = rig.start()
     if end == "cancelled":
         exchange.cancel()
@@ -349,22 +371,25 @@
         rig.pools.remove("b")
     else:
         rig.pools.set_address("b", ("127.0.0.2", 9))
-    assert until(lambda: replies_received)
+    assert wait_until(lambda: replies_received)
     assert replies_received[0].outcome is Outcome.UNSENT
-    assert not far.peers or until(lambda: far.peers[0].heard == [])
+    assert not server.peers or wait_until(lambda: server.peers[0].received == [])
 
 
 def test_moved_backend_is_reached_at_its_new_address_only():
-    old, new = Far(replies(served(b"old"))), Far(replies(served(b"new")))
+    old, new = (
+        ScriptedServer(reply_script(response_bytes(b"old"))),
+        ScriptedServer(reply_script(response_bytes(b"new"))),
+    )
     rig = PoolRig(old.address)
     assert bytes(rig.send().body) == b"old"
     rig.pools.set_address("b", new.address)
     assert bytes(rig.send().body) == b"new"
-    assert until(lambda: rig.pools.budget.in_use == 1)
+    assert wait_until(lambda: rig.pools.budget.in_use == 1)
 
 
 def test_response_body_survives_the_next_response_on_its_connection():
-    rig = PoolRig(Far(replies(served(b"first"), served(b"other"))).address)
+    rig = PoolRig(ScriptedServer(reply_script(response_bytes(b"first"), response_bytes(b"other"))).address)
     first = rig.send()
     rig.send()
     # The slice keeps its buffer: if it were overwritten, a client would get another client's answer.
@@ -373,8 +398,8 @@
 
 
 def test_budget_is_kept_and_idle_connections_make_room():
-    far, other = Far(never_answer), Far(replies(served()))
-    rig = PoolRig(far.address, most=2)
+    server, other = ScriptedServer(never_answer), ScriptedServer(reply_script(response_bytes()))
+    rig = PoolRig(server.address, most=2)
     rig.pools.set_address("c", other.address)
     assert rig.send(backend="c").outcome is Outcome.FINISHED
     rig.start()
@@ -386,7 +411,7 @@
 
 
 def test_responses_stay_within_the_memory_limit():
-    rig = PoolRig(Far(replies(served(60_000 * b"x"))).address, memory=360_000)
+    rig = PoolRig(ScriptedServer(reply_script(response_bytes(60_000 * b"x"))).address, memory=360_000)
     kept_replies = []
     # Each buffer counts as long as a slice of it is held, even while its connection carries on.
     while (reply := rig.send()).outcome is Outcome.FINISHED:
@@ -395,7 +420,7 @@
     assert len(kept_replies) >= 4 and reply.outcome is Outcome.RESET
     del kept_replies[:]
     # An idle connection doesn't keep its last response either.
-    assert until(lambda: not rig.memory.used_bytes)
+    assert wait_until(lambda: not rig.memory.used_bytes)
     assert rig.send().outcome is Outcome.FINISHED
 
 
@@ -416,18 +441,18 @@
     seen = []
 
     def script(peer):
-        peer.hear()
+        peer.receive_message()
         try:
             seen.append(peer.sock.recv(10))
         except OSError as fault:
             seen.append(type(fault))
 
-    rig = PoolRig(Far(script).address)
+    rig = PoolRig(ScriptedServer(script).address)
     exchange, replies_received = rig.start(wait=5 * SECOND if cancelled else 300)
-    assert until(lambda: exchange.fully_written)
+    assert wait_until(lambda: exchange.fully_written)
     if cancelled:
         exchange.cancel()
-    assert until(lambda: replies_received and seen)
+    assert wait_until(lambda: replies_received and seen)
     assert replies_received[0].outcome is (Outcome.CANCELLED if cancelled else Outcome.TIMED_OUT)
     assert seen == [ConnectionResetError]
 
@@ -441,8 +466,8 @@
 )
 def test_exchange_that_ends_while_connecting_is_not_sent(field, counter):
     heard = []
-    far = Far(lambda peer: heard.append(peer.hear()))
-    rig, replies_received = PoolRig(far.address), []
+    server = ScriptedServer(lambda peer: heard.append(peer.receive_message()))
+    rig, replies_received = PoolRig(server.address), []
     exchange = Exchange([HEAD, b""], rig.pools.clock.now() + 5 * SECOND, replies_received.append)
     original = rig.pools.record_connect
 
@@ -453,14 +478,14 @@
 
     rig.pools.record_connect = end_while_connecting
     rig.pools.send("b", exchange)
-    assert until(lambda: replies_received)
+    assert wait_until(lambda: replies_received)
     assert (replies_received[0].outcome, rig.connections_opened, rig.counters[counter]) == (
         Outcome.UNSENT,
         1,
         1,
     )
     # The connection itself is fine: it is kept and carries the next exchange.
-    assert rig.start()[1] == [] and until(lambda: heard)
+    assert rig.start()[1] == [] and wait_until(lambda: heard)
     assert rig.connections_opened == 1 and heard == [HEAD]
 
 
@@ -470,13 +495,13 @@
     late = defaultdict(Event)
 
     def twice(peer):
-        while heard := peer.hear():
+        while heard := peer.receive_message():
             number = heard.split(b"ID: ")[1][:2]
-            peer.send(served(number))
+            peer.send(response_bytes(number))
             late[number].wait()
-            peer.send(served(b"again " + number))
+            peer.send(response_bytes(b"again " + number))
 
-    rig, bodies = PoolRig(Far(twice).address), []
+    rig, bodies = PoolRig(ScriptedServer(twice).address), []
 
     def send(n):
         replies_received = []
@@ -486,20 +511,20 @@
         assert rig.pools.send("b", exchange)
         # Right after the next request, which is written at the greenlet's turn.
         late[b"r%d" % (n - 1)].set()
-        assert until(lambda: replies_received)
+        assert wait_until(lambda: replies_received)
         bodies.append(bytes(replies_received[0].body))
 
     # Detected once on an idle connection; from then on the backend is known to do this.
     send(1)
     late[b"r1"].set()
-    assert until(lambda: not rig.pools.budget.in_use)
+    assert wait_until(lambda: not rig.pools.budget.in_use)
     for n in range(2, 9):
         send(n)
     assert bodies == [b"r%d" % n for n in range(1, 9)]
 
 
 def test_backend_without_stray_bytes_keeps_one_connection():
-    rig = PoolRig(Far(replies(served())).address)
+    rig = PoolRig(ScriptedServer(reply_script(response_bytes())).address)
     for _ in range(20):
         rig.send()
     assert rig.connections_opened == 1
--- a/tests/test_deployment_change.py
+++ b/tests/test_deployment_change.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from helpers import SECOND, Drive, answers, attempts, settings
+from helpers import SECOND, BalancerDriver, answers, attempts, balancer_settings
 from test_program import TOLD, changed
 from test_router import RouterRig
 
@@ -18,7 +18,7 @@
 from nettledeal.policy.locality import FIRST_THRESHOLD
 from nettledeal.policy.shared_state import SUBSET
 
-MOVED = settings(
+MOVED = balancer_settings(
     balancers=300,
     me=4,
     tariffs__connection=0.03,
@@ -32,29 +32,31 @@
 
 def learned(seed=1):
     """An agent that has served the old deployment for a while, and found it slow."""
-    drive = Drive([Listing(f"b{n}", zone=n % 2) for n in range(12)], seed=seed, balancers=4, kinds="p")
+    driver = BalancerDriver(
+        [Listing(f"b{n}", zone=n % 2) for n in range(12)], seed=seed, balancers=4, kinds="p"
+    )
     for n in range(120):
-        for attempt in attempts(drive.take(n % 2)):
-            drive.back(attempt, after=600 if n % 3 else 3000, report={"outstanding": 4.0})
-    return drive
+        for attempt in attempts(driver.submit(n % 2)):
+            driver.finish_attempt(attempt, after=600 if n % 3 else 3000, report={"outstanding": 4.0})
+    return driver
 
 
-def move(drive, listings=None, me=4):
-    before = dependencies(drive.balancer.state.settings)
-    drive.balancer.apply_settings(drive.now, MOVED | {"me": me})
-    changed = reset_changed(drive.balancer, before, drive.now)
+def move(driver, listings=None, me=4):
+    before = dependencies(driver.balancer.state.settings)
+    driver.balancer.apply_settings(driver.now, MOVED | {"me": me})
+    changed = reset_changed(driver.balancer, before, driver.now)
     if listings:
-        drive.balancer.update_backends(drive.now, listings, whole=True, cached=False)
+        driver.balancer.update_backends(driver.now, listings, whole=True, cached=False)
     return changed
 
 
 def test_learned_state_is_reset_only_where_its_meaning_changed():
-    drive = learned()
-    balancer = drive.balancer
-    balancer.health.record_result(balancer.state.backends["b1"], True, drive.now)
+    driver = learned()
+    balancer = driver.balancer
+    balancer.health.record_result(balancer.state.backends["b1"], True, driver.now)
     base, distrust = balancer.state.categories[0].base_time, balancer.state.backends["b1"].distrust
     balancer.locality.threshold, balancer.admission.was_cut = 0.5, True
-    assert sorted(move(drive)) == ["belief", "limit", "paces", "threshold"]
+    assert sorted(move(driver)) == ["belief", "limit", "paces", "threshold"]
     assert balancer.state.categories[0].base_time == base
     assert balancer.state.backends["b1"].distrust == distrust > 0
     assert (balancer.admission.limit, balancer.admission.was_cut) == (OVERLOAD / 300, False)
@@ -64,11 +66,11 @@
 
 
 def test_unchanged_settings_change_nothing():
-    drive = learned()
-    before = export_learned(drive.balancer, drive.now)
-    drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings))
-    assert reset_changed(drive.balancer, dependencies(drive.balancer.state.settings), drive.now) == []
-    assert export_learned(drive.balancer, drive.now) == before
+    driver = learned()
+    before = export_learned(driver.balancer, driver.now)
+    driver.balancer.apply_settings(driver.now, dict(driver.balancer.state.settings))
+    assert reset_changed(driver.balancer, dependencies(driver.balancer.state.settings), driver.now) == []
+    assert export_learned(driver.balancer, driver.now) == before
 
 
 @pytest.mark.parametrize("settings_are", ["same", "other", "none"])
@@ -78,7 +80,7 @@
     if settings_are == "none":  # written by an older version, which also stored a mean hint
         del left["shape"]
         left["categories"] = {name: (*figures, 0.0) for name, figures in left["categories"].items()}
-    new = Drive([Listing(f"b{n}", zone=n % 2) for n in range(12)], now=old.now)
+    new = BalancerDriver([Listing(f"b{n}", zone=n % 2) for n in range(12)], now=old.now)
     new.balancer.apply_settings(new.now, MOVED if settings_are == "other" else old.balancer.state.settings)
     fresh = new.balancer.admission.limit
     assert import_learned(new.balancer, new.now, left)
@@ -94,22 +96,24 @@
     twice, and an agent that was moved defers no more than one that starts with nothing learned."""
     work, deferred, taken = Counter(), 0, 0
     for me in range(60):
-        drive = learned(me) if start == "moved" else Drive([], seed=me, balancers=300)
-        listings = [Listing(f"n{n}", zone=n % 2, started_at=drive.now if n < 8 else 0) for n in range(40)]
-        changed = move(drive, listings, me)
+        driver = learned(me) if start == "moved" else BalancerDriver([], seed=me, balancers=300)
+        listings = [Listing(f"n{n}", zone=n % 2, started_at=driver.now if n < 8 else 0) for n in range(40)]
+        changed = move(driver, listings, me)
         assert "limit" in changed or start != "moved"
-        until = drive.now + 2 * SECOND
-        while drive.now < until:
-            actions = drive.take(1)  # at most once
+        until = driver.now + 2 * SECOND
+        while driver.now < until:
+            actions = driver.submit(1)  # at most once
             taken += 1
             deferred += len(answers(actions))
             for attempt in attempts(actions):
                 work[attempt.backend] += 1
                 # The connection was lost: it may have run, and must be neither sent again nor deferred.
-                again = drive.back(attempt, Outcome.RESET if me % 10 == 0 else Outcome.FINISHED, after=400)
+                again = driver.finish_attempt(
+                    attempt, Outcome.RESET if me % 10 == 0 else Outcome.FINISHED, after=400
+                )
                 assert not attempts(again)
-                drive.now += SECOND // 3
-            drive.now += SECOND // 20
+                driver.now += SECOND // 3
+            driver.now += SECOND // 20
     assert deferred < 0.1 * taken
     cold = [work[f"n{n}"] for n in range(8)]
     usual = sum(work[f"n{n}"] for n in range(8, 40)) / 32
@@ -163,8 +167,8 @@
     plain = check(json.dumps(TOLD).encode(), {})
     more = changed("settings.me", 3, ("settings.weights", "live"), ("settings.tariffs.connection", 0.03))
     assert check_replacement(plain, check(more, {})) is None
-    drive = Drive([Listing(f"b{n}") for n in range(30)])
-    assert drive.balancer.state.subsets[0] == drive.balancer.state.near
+    driver = BalancerDriver([Listing(f"b{n}") for n in range(30)])
+    assert driver.balancer.state.subsets[0] == driver.balancer.state.near
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf"), float("nan"), 1e-300, 2.0])
@@ -172,13 +176,15 @@
     """Work goes to the same backends whether listed weights follow the load, are frozen or invalid."""
     seen = []
     for size in (1.0, weight):
-        drive = Drive([Listing(f"b{n}", weight=size) for n in range(8)], weights="live")
+        driver = BalancerDriver([Listing(f"b{n}", weight=size) for n in range(8)], weights="live")
         picks = []
         for _ in range(30):
-            drive.balancer.update_backends(drive.now, [Listing("b0", weight=size)], whole=False, cached=False)
-            for attempt in attempts(drive.take()):
+            driver.balancer.update_backends(
+                driver.now, [Listing("b0", weight=size)], whole=False, cached=False
+            )
+            for attempt in attempts(driver.submit()):
                 picks.append(attempt.backend)
-                drive.back(attempt)
+                driver.finish_attempt(attempt)
         seen.append(picks)
     assert seen[0] == seen[1]
     assert len(seen[0]) == 30
@@ -193,16 +199,18 @@
     work, now = Counter(), 100_000
     colds = {f"b{n}" for n in range(48) if n % 24 < 24 * (cold_home if n < 24 else cold_away)}
     for me in range(200):
-        drive = Drive([], balancers=200, me=me, zone=me % 2, tariffs__connection=0.03, seed=me, now=now)
+        driver = BalancerDriver(
+            [], balancers=200, me=me, zone=me % 2, tariffs__connection=0.03, seed=me, now=now
+        )
         listings = [
             Listing(f"b{n}", zone=n // 24, started_at=now if f"b{n}" in colds else 0) for n in range(48)
         ]
-        drive.balancer.update_backends(now, listings, whole=True, cached=False)
+        driver.balancer.update_backends(now, listings, whole=True, cached=False)
         for _ in range(6):
-            for attempt in attempts(drive.take()):
+            for attempt in attempts(driver.submit()):
                 work[attempt.backend] += 1
-                drive.back(attempt, after=500)
-            drive.now += SECOND // 6
+                driver.finish_attempt(attempt, after=500)
+            driver.now += SECOND // 6
     equal = 200 * 6 / 48
     # 0.7 of the overload: 3 times the capacity, which is 0.3 of an equal share and 0.4 after a second.
     assert 0 < sum(work[b] for b in colds) / len(colds) < 0.7 * 3.0 * 0.4 * equal
@@ -210,46 +218,46 @@
 
 
 def test_agent_with_a_cached_list_limits_attempts_until_it_is_confirmed():
-    drive = Drive([], balancers=2, me=2, tariffs__connection=0.03)
+    driver = BalancerDriver([], balancers=2, me=2, tariffs__connection=0.03)
     listings = [Listing(f"b{n}") for n in range(30)]
-    drive.balancer.update_backends(drive.now, listings, whole=True, cached=True)
-    first = [attempt.backend for _ in range(20) for attempt in attempts(drive.take())]
+    driver.balancer.update_backends(driver.now, listings, whole=True, cached=True)
+    first = [attempt.backend for _ in range(20) for attempt in attempts(driver.submit())]
     assert first and max(Counter(first).values()) <= 2
-    gone, *left = [b.id for b in drive.balancer.state.subsets[0]]
+    gone, *left = [b.id for b in driver.balancer.state.subsets[0]]
     others = [id for id in map("b{}".format, range(30)) if id != gone]
-    news = [Listing(id, started_at=drive.now if id in left else 0) for id in others]
-    drive.balancer.update_backends(drive.now, news, whole=True, cached=False)
-    drive.now += 5 * SECOND
-    assert gone not in [attempt.backend for _ in range(20) for attempt in attempts(drive.take())]
+    news = [Listing(id, started_at=driver.now if id in left else 0) for id in others]
+    driver.balancer.update_backends(driver.now, news, whole=True, cached=False)
+    driver.now += 5 * SECOND
+    assert gone not in [attempt.backend for _ in range(20) for attempt in attempts(driver.submit())]
 
 
 def test_common_slowness_excludes_no_backend_and_passes():
-    drive = Drive([Listing(f"b{n}") for n in range(10)], balancers=20)
+    driver = BalancerDriver([Listing(f"b{n}") for n in range(10)], balancers=20)
     for after, turns in ((500, 60), (1400, 100), (500, 100)):
         picks, deferred = Counter(), 0
         for _ in range(turns):
-            actions = drive.take()
+            actions = driver.submit()
             deferred += len(answers(actions))
             for attempt in attempts(actions):
                 picks[attempt.backend] += 1
-                drive.back(attempt, after=after)
+                driver.finish_attempt(attempt, after=after)
         assert len(picks) == 10
     assert not deferred
-    assert not any(b.distrust for b in drive.balancer.state.backends.values())
+    assert not any(b.distrust for b in driver.balancer.state.backends.values())
 
 
 @pytest.mark.parametrize(("surplus", "spared"), [(0.2, True), (1.0, False)])
 def test_customer_far_over_its_share_is_deferred_first(surplus, spared):
     shares = {"projects.0.share": 0.5, "projects.1.share": 0.5, "surplus_payoff": surplus}
-    drive = Drive(balancers=3, projects__count=2, **shares)
+    driver = BalancerDriver(balancers=3, projects__count=2, **shares)
     for n in range(40):
         customer = int(n % 10 == 0)
-        for attempt in attempts(drive.take(0, customer=customer)):
-            drive.back(attempt, after=1)
+        for attempt in attempts(driver.submit(0, customer=customer)):
+            driver.finish_attempt(attempt, after=1)
     kept = [0, 0]
     for _ in range(30):
         for customer in (0, 1):
-            kept[customer] += len(attempts(drive.take(0, customer=customer)))
+            kept[customer] += len(attempts(driver.submit(0, customer=customer)))
     assert (kept[1] > kept[0] + 1) == spared
 
 
@@ -258,14 +266,14 @@
     """If read only at the start, the old price would set the threshold until a restart."""
     risen = {}
     for price in (0.0, dearer):
-        drive = Drive([Listing(f"b{n}") for n in range(3)], tariffs__cross_zone=0.0)
-        drive.balancer.apply_settings(
-            drive.now, dict(drive.balancer.state.settings) | {"tariffs.cross_zone": price}
+        driver = BalancerDriver([Listing(f"b{n}") for n in range(3)], tariffs__cross_zone=0.0)
+        driver.balancer.apply_settings(
+            driver.now, dict(driver.balancer.state.settings) | {"tariffs.cross_zone": price}
         )
-        drive.balancer.locality.threshold = 0.3
-        for attempt in attempts(drive.take()):
-            drive.back(attempt, after=50)
-        risen[price] = drive.balancer.locality.threshold / 0.3 - 1.0
+        driver.balancer.locality.threshold = 0.3
+        for attempt in attempts(driver.submit()):
+            driver.finish_attempt(attempt, after=50)
+        risen[price] = driver.balancer.locality.threshold / 0.3 - 1.0
     assert rises - 1 < risen[dearer] / risen[0.0] <= 1.2 * rises
 
 
@@ -274,11 +282,11 @@
     [("outstanding", 0.001, True), ("backlog", 0.001, False), ("outstanding", 1e9, False), ("", 0.1, False)],
 )
 def test_probes_follow_the_report_fields_and_price_in_force(fields, price, asks):
-    drive = learned()
-    assert not drive.balancer.state.probes_first
+    driver = learned()
+    assert not driver.balancer.state.probes_first
     changes = {"allowed.probes": True, "feedback.fields": fields, "tariffs.probe": price}
-    drive.balancer.apply_settings(drive.now, dict(drive.balancer.state.settings) | changes)
-    drive.now += 20 * SECOND
-    drive.balancer.loads.probe_credit = 0.0
-    probes = [action for _ in range(6) for action in drive.take() if isinstance(action, Probe)]
+    driver.balancer.apply_settings(driver.now, dict(driver.balancer.state.settings) | changes)
+    driver.now += 20 * SECOND
+    driver.balancer.loads.probe_credit = 0.0
+    probes = [action for _ in range(6) for action in driver.submit() if isinstance(action, Probe)]
     assert bool(probes) == asks
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 from gevent.event import Event
-from helpers import Far, replies, served, until
+from helpers import ScriptedServer, reply_script, response_bytes, wait_until
 
 from nettledeal.net.counters import Counters
 from nettledeal.net.protocol.catalogue import Catalogue
@@ -31,7 +31,7 @@
     """A script that answers a watch with these bytes, then falls silent or closes the connection."""
 
     def script(peer):
-        peer.heard = [peer.hear()]
+        peer.received = [peer.receive_message()]
         for part in parts:
             peer.send(part)
             gevent.sleep(0.002)
@@ -42,12 +42,12 @@
 
 
 SILENCE = discovery_watch_module.SILENCE_TIMEOUT_S
-WHOLE = replies(served(line(3, "s1", "s2", whole=True)))
+WHOLE = reply_script(response_bytes(line(3, "s1", "s2", whole=True)))
 
 
 class WatchRig:
     def __init__(self, *scripts, version=None):
-        self.far = Far(*scripts)
+        self.far = ScriptedServer(*scripts)
         self.updates, self.lost = [], []
         self.counters = Counters()
         self.discovery_watch = DiscoveryWatch(
@@ -62,7 +62,7 @@
         self.discovery_watch.start()
 
     def updates_received(self, count):
-        assert until(lambda: len(self.updates) >= count)
+        assert wait_until(lambda: len(self.updates) >= count)
         return [(update.generation, update.is_full, len(update.listings)) for update in self.updates]
 
 
@@ -77,8 +77,8 @@
     text = line(4, "s3")
     rig = WatchRig(WHOLE, responds(CHUNKED, chunk(text[:9]), chunk(text[9:] + b"\n"), chunk(b"\n")))
     assert rig.updates_received(2) == [(3, True, 2), (4, False, 1)]
-    assert b"/catalog/members " in rig.far.peers[0].heard[0]
-    assert b"/catalog/members?watch=1&from=3 " in rig.far.peers[1].heard[0]
+    assert b"/catalog/members " in rig.far.peers[0].received[0]
+    assert b"/catalog/members?watch=1&from=3 " in rig.far.peers[1].received[0]
     assert not rig.lost
 
 
@@ -95,7 +95,7 @@
     rig = WatchRig(WHOLE, first, responds(CHUNKED + chunk(line(5, "s4") + b"\n")))
     assert rig.updates_received(3) == [(3, True, 2), (4, False, 1), (5, False, 1)]
     assert rig.lost
-    assert b"from=4 " in rig.far.peers[2].heard[0]
+    assert b"from=4 " in rig.far.peers[2].received[0]
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,7 @@
     ],
 )
 def test_full_list_is_requested_after_a_malformed_line(first):
-    rig = WatchRig(WHOLE, first, replies(served(line(6, "s9", whole=True))), responds(CHUNKED))
+    rig = WatchRig(WHOLE, first, reply_script(response_bytes(line(6, "s9", whole=True))), responds(CHUNKED))
     # Later lines don't repeat what the malformed one said.
     assert rig.updates_received(2)[1] == (6, True, 1)
     assert rig.lost
@@ -117,16 +117,16 @@
 def test_known_list_is_watched_from_its_version():
     rig = WatchRig(responds(CHUNKED + chunk(line(42, "s3") + b"\n")), version=41)
     assert rig.updates_received(1) == [(42, False, 1)]
-    assert b"?watch=1&from=41 " in rig.far.peers[0].heard[0]
+    assert b"?watch=1&from=41 " in rig.far.peers[0].received[0]
 
 
 @pytest.mark.parametrize("status", [b"503 Service Unavailable", b"429 Too Many Requests"])
 def test_declined_call_is_retried_from_its_version(status):
-    declined = replies(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % status)
+    declined = reply_script(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % status)
     rig = WatchRig(declined, declined, responds(CHUNKED + chunk(line(42, "s3") + b"\n")), version=41)
     assert rig.updates_received(1) == [(42, False, 1)]
     # Not the full list, which takes two calls: what was received so far remains valid.
-    assert all(b"?watch=1&from=41 " in peer.heard[0] for peer in rig.far.peers)
+    assert all(b"?watch=1&from=41 " in peer.received[0] for peer in rig.far.peers)
     assert rig.counters["list calls declined"] == 2
 
 
@@ -175,24 +175,24 @@
     speak = Event()
 
     def slow(peer):
-        peer.hear()
+        peer.receive_message()
         speak.wait()
-        peer.send(served(line(9, "s5", whole=True)))
+        peer.send(response_bytes(line(9, "s5", whole=True)))
 
     more = [chunk(line(generation) + b"\n") for generation in range(4, 60)]
     rig = WatchRig(WHOLE, responds(CHUNKED, *more))
     rig.updates_received(1)
-    second = Far(slow, slow, responds(CHUNKED + chunk(line(10, "s6") + b"\n")))
+    second = ScriptedServer(slow, slow, responds(CHUNKED + chunk(line(10, "s6") + b"\n")))
     rig.discovery_watch.change_address(second.address)
-    assert until(lambda: second.peers)
+    assert wait_until(lambda: second.peers)
     before = len(rig.updates)
     rig.updates_received(before + 3)
     # Changed again while connecting, and back: the live watch is used all the time.
-    rig.discovery_watch.change_address(Far(slow).address)
+    rig.discovery_watch.change_address(ScriptedServer(slow).address)
     rig.discovery_watch.change_address(second.address)
-    assert until(lambda: len(second.peers) == 2)
+    assert wait_until(lambda: len(second.peers) == 2)
     speak.set()
-    assert until(lambda: (10, False) in [(update.generation, update.is_full) for update in rig.updates])
+    assert wait_until(lambda: (10, False) in [(update.generation, update.is_full) for update in rig.updates])
     told = [update.generation for update in rig.updates]
     updates_received = len(told)
     gevent.sleep(0.02)
@@ -203,15 +203,15 @@
 def test_old_watch_does_not_reconnect_after_a_change_of_address():
     rig = WatchRig(WHOLE, responds(CHUNKED, chunk(b"\n"), end=True))
     rig.updates_received(1)
-    rig.discovery_watch.change_address(Far(responds()).address)
-    assert until(lambda: rig.lost)
+    rig.discovery_watch.change_address(ScriptedServer(responds()).address)
+    assert wait_until(lambda: rig.lost)
     gevent.sleep(0.02)
     assert len(rig.far.peers) == 2
 
 
 def endless_line(peer):
     """Sends bytes endlessly, but never a complete line."""
-    peer.hear()
+    peer.receive_message()
     peer.send(CHUNKED)
     while True:
         peer.send(chunk(b" "))
@@ -219,7 +219,7 @@
 
 
 def endless_list(peer):
-    peer.hear()
+    peer.receive_message()
     peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n")
     while True:
         peer.send(b" ")
@@ -227,16 +227,16 @@
 
 
 def never_answer(peer):
-    peer.hear()
+    peer.receive_message()
     gevent.sleep(3600)
 
 
 def close_connection(peer):
-    peer.hear()
+    peer.receive_message()
     peer.sock.close()
 
 
-DECLINED_FOR_LONG = replies(b"HTTP/1.1 503 Busy\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
+DECLINED_FOR_LONG = reply_script(b"HTTP/1.1 503 Busy\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
 LIVE_WATCH = responds(CHUNKED + chunk(line(3, "s1", whole=True) + b"\n"))
 
 
@@ -274,14 +274,14 @@
         calls.append(peer)
         if answers:
             answers.pop(0)(peer)
-        elif b"watch=1" in peer.hear():
+        elif b"watch=1" in peer.receive_message():
             peer.send(CHUNKED + chunk(line(9, "s9", whole=True) + b"\n"))
             gevent.sleep(3600)
         else:
-            peer.send(served(line(9, "s9", whole=True)))
+            peer.send(response_bytes(line(9, "s9", whole=True)))
 
     rig = WatchRig(service, version=version)
-    assert until(lambda: any(update.generation == 9 for update in rig.updates))
+    assert wait_until(lambda: any(update.generation == 9 for update in rig.updates))
     assert len(calls) <= len(bad) + 3, "without a storm of calls"
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from helpers import SECOND, Drive, attempts
+from helpers import SECOND, BalancerDriver, attempts
 
 from nettledeal.handover import LEAVING, SERVING, STARTING, VERSION, Handover, read
 from nettledeal.learned_state import export_learned, import_learned
@@ -184,14 +184,14 @@
 
 
 def grown():
-    drive = Drive()
+    driver = BalancerDriver()
     for n in range(200):
-        for attempt in attempts(drive.take(n % 2)):
+        for attempt in attempts(driver.submit(n % 2)):
             slow = attempt.backend == "b1"
-            drive.back(
+            driver.finish_attempt(
                 attempt, Outcome.ERROR if attempt.backend == "b2" else Outcome.FINISHED, 900 if slow else 300
             )
-    return drive
+    return driver
 
 
 def test_what_was_learned_goes_on_with_its_age():
@@ -199,7 +199,7 @@
     whole = old.balancer.admission.limit
     old.balancer.set_processes(2)
     left = msgspec.json.decode(msgspec.json.encode(export_learned(old.balancer, old.now)))
-    new = Drive(now=old.now + SECOND)
+    new = BalancerDriver(now=old.now + SECOND)
     new.balancer.set_processes(2)
     assert import_learned(new.balancer, new.now, left)
     for mine, its in zip(old.balancer.state.categories, new.balancer.state.categories, strict=True):
@@ -221,7 +221,7 @@
 def test_it_never_outlives_a_backends_id_or_start(listing):
     old = grown()
     left = export_learned(old.balancer, old.now)
-    new = Drive([listing], now=old.now)
+    new = BalancerDriver([listing], now=old.now)
     assert import_learned(new.balancer, new.now, left)
     b = new.balancer.state.backends[listing.backend]
     assert not b.log_slowness and not b.distrust
@@ -230,7 +230,7 @@
 def test_one_put_back_meanwhile_keeps_nothing_of_before():
     old = grown()
     left = export_learned(old.balancer, old.now)
-    new = Drive(now=old.now)
+    new = BalancerDriver(now=old.now)
     new.balancer.cordon(new.now, "b2")
     new.balancer.uncordon(new.now, "b2")
     assert import_learned(new.balancer, new.now, left)
@@ -252,7 +252,7 @@
     ],
 )
 def test_a_legacy_that_makes_no_sense_changes_nothing(change):
-    old, new = grown(), Drive()
+    old, new = grown(), BalancerDriver()
     before = export_learned(new.balancer, new.now)
     assert not import_learned(new.balancer, new.now, export_learned(old.balancer, old.now) | change)
     assert export_learned(new.balancer, new.now) == before
@@ -261,16 +261,16 @@
 def test_processes_share_what_a_cold_backend_bears():
     def pushed(drives):
         out = 0
-        for drive in drives:
+        for driver in drives:
             for _ in range(60):
-                out += len(attempts(drive.take()))
+                out += len(attempts(driver.submit()))
         return out
 
     cold = [Listing("b0", started_at=100_000)]
-    alone = Drive(cold, seed=3)
-    two = [Drive(cold, seed=n) for n in (3, 4)]
-    for drive in two:
-        drive.balancer.set_processes(2)
+    alone = BalancerDriver(cold, seed=3)
+    two = [BalancerDriver(cold, seed=n) for n in (3, 4)]
+    for driver in two:
+        driver.balancer.set_processes(2)
     b = alone.balancer.state.backends["b0"]
     whole = alone.balancer.health.budget(b, alone.now)
     assert sum(d.balancer.health.budget(b, d.now) for d in two) == pytest.approx(whole)
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -10,7 +10,16 @@
 
 import msgspec
 import pytest
-from helpers import Far, Peer, asked, free_place, replies, served, socket, until
+from helpers import (
+    PeerConnection,
+    ScriptedServer,
+    free_address,
+    reply_script,
+    request_bytes,
+    response_bytes,
+    socket,
+    wait_until,
+)
 from test_program import SRC, TOLD
 from test_rig import fleet
 
@@ -97,7 +106,7 @@
 def is_ready(address):
     try:
         with socket.create_connection(address) as sock:
-            return Peer(sock).send(READY).hear().startswith(b"HTTP/1.1 200 ")
+            return PeerConnection(sock).send(READY).receive_message().startswith(b"HTTP/1.1 200 ")
     except OSError:
         return False
 
@@ -105,19 +114,21 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGKILL])
 def test_nine_in_ten_restarted_processes_are_ready_within_ten_seconds(tmp_path, number):
     """Twenty at once, with a discovery that never answers calls, and idle clients at each agent."""
-    discovery = Far(lambda peer: peer.hear() and until(bool, 600))
-    addresses = [free_place() for _ in range(20)]
+    discovery = ScriptedServer(lambda peer: peer.receive_message() and wait_until(bool, 600))
+    addresses = [free_address() for _ in range(20)]
     configurations = [
         {**TOLD, "listen": format_address(address), "discovery": format_address(discovery.address)}
         for address in addresses
     ]
     agents = [start_agent(tmp_path / f"{n}", each) for n, each in enumerate(configurations)]
     try:
-        assert until(lambda: all(map(is_ready, addresses)), 60)
-        idle_clients = [Peer(socket.create_connection(address)) for address in addresses for _ in range(3)]
+        assert wait_until(lambda: all(map(is_ready, addresses)), 60)
+        idle_clients = [
+            PeerConnection(socket.create_connection(address)) for address in addresses for _ in range(3)
+        ]
         for agent in agents:
             agent.send_signal(number)
-        assert until(lambda: all(agent.poll() is not None for agent in agents), 60)
+        assert wait_until(lambda: all(agent.poll() is not None for agent in agents), 60)
         restarted = [start_agent(tmp_path / f"again-{n}", each) for n, each in enumerate(configurations)]
         agents += restarted
         ready_addresses = []
@@ -126,7 +137,7 @@
             ready_addresses[:] = [address for address in addresses if is_ready(address)]
             return len(ready_addresses) >= 18
 
-        assert until(most_are_ready, 10), len(ready_addresses)
+        assert wait_until(most_are_ready, 10), len(ready_addresses)
         del idle_clients
     finally:
         for agent in agents:
@@ -135,7 +146,7 @@
 
 
 def test_idle_clients_do_not_block_service_when_discovery_is_down(tmp_path):
-    address, discovery_address = free_place(), free_place()
+    address, discovery_address = free_address(), free_address()
     configuration = {
         **TOLD,
         "listen": format_address(address),
@@ -144,27 +155,29 @@
     }
     agent = start_agent(tmp_path / "agent", configuration, files=64)
     try:
-        assert until(lambda: is_ready(address), 60)
+        assert wait_until(lambda: is_ready(address), 60)
         idle_clients = []
         for n in range(150):
-            client = Peer(socket.create_connection(address))
+            client = PeerConnection(socket.create_connection(address))
             # Some are idle after an answer, some have sent nothing or an incomplete request.
             if n % 3:
                 client.send(READY if n % 3 == 1 else READY[:9])
             idle_clients.append(client)
-        far = Far(replies(served(b"from afar")))
-        entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
+        server = ScriptedServer(reply_script(response_bytes(b"from afar")))
+        entry = {"instanceId": "s1", "hostPort": format_address(server.address), "zone": "a"}
         whole = json.dumps({"generation": 1, "reset": True, "instances": [entry]}).encode()
-        lists = Far(replies(served(whole)), address=discovery_address)
+        lists = ScriptedServer(reply_script(response_bytes(whole)), address=discovery_address)
         # The agent gets the list, connects to the backend and accepts one more client despite the idle ones.
         answers = []
 
         def served_again():
-            client = Peer(socket.create_connection(address)).send(asked(b"r%d" % len(answers)))
-            answers.append(client.hear())
+            client = PeerConnection(socket.create_connection(address)).send(
+                request_bytes(b"r%d" % len(answers))
+            )
+            answers.append(client.receive_message())
             return answers[-1].endswith(b"from afar")
 
-        assert until(served_again, 20), answers[-3:]
+        assert wait_until(served_again, 20), answers[-3:]
         assert lists.peers and agent.poll() is None
     finally:
         agent.kill()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,7 +6,16 @@
 
 import gevent
 import pytest
-from helpers import Far, Peer, asked, free_place, replies, served, socket, until
+from helpers import (
+    PeerConnection,
+    ScriptedServer,
+    free_address,
+    reply_script,
+    request_bytes,
+    response_bytes,
+    socket,
+    wait_until,
+)
 from test_program import SRC, start
 
 from nettledeal import configuration, peers
@@ -46,7 +55,7 @@
 class Agents:
     def __init__(self, tmp_path, count, backends):
         self.admins, self.listens, self.lines, self.processes, self.configs = [], [], [], [], []
-        members = [(address[0], free_place()[1]) for address in addresses(count)]
+        members = [(address[0], free_address()[1]) for address in addresses(count)]
         entries = [
             {
                 "instanceId": f"s{n}",
@@ -59,8 +68,8 @@
         for n in range(count):
             folder = tmp_path / f"a{n}"
             folder.mkdir()
-            self.admins.append(free_place())
-            self.listens.append(free_place())
+            self.admins.append(free_address())
+            self.listens.append(free_address())
             config = {
                 "name": f"a{n}",
                 "listen": format_address(self.listens[n]),
@@ -119,16 +128,20 @@
 
 
 def test_agents_count_each_other_and_a_cordon_given_to_one_applies_to_all(tmp_path):
-    backends = [Far(replies(served(b"s%d" % n))) for n in range(2)]
+    backends = [ScriptedServer(reply_script(response_bytes(b"s%d" % n))) for n in range(2)]
     with Agents(tmp_path, 3, backends) as agents:
-        assert until(lambda: all(agents.logged(n, '"agents counted"') for n in range(3)), 40)
-        assert until(lambda: all(agents.members(n)["counted"] == 3 for n in range(3)), 40)
+        assert wait_until(lambda: all(agents.logged(n, '"agents counted"') for n in range(3)), 40)
+        assert wait_until(lambda: all(agents.members(n)["counted"] == 3 for n in range(3)), 40)
         assert agents.admin_command(0, "cordon s0").startswith("+OK")
-        assert until(lambda: all(agents.logged(n, '"order heard of"') for n in (1, 2)), 40)
+        assert wait_until(lambda: all(agents.logged(n, '"order heard of"') for n in (1, 2)), 40)
         before = len(backends[0].peers)
         for n in (1, 2):
             for id in range(10):
-                answer = Peer(socket.create_connection(agents.listens[n])).send(asked(b"r%d" % id)).hear()
+                answer = (
+                    PeerConnection(socket.create_connection(agents.listens[n]))
+                    .send(request_bytes(b"r%d" % id))
+                    .receive_message()
+                )
                 assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"s1")
         assert len(backends[0].peers) == before
         # The command line shows the same; and a death is logged with the member that declared it.
@@ -141,23 +154,23 @@
         )
         assert [member["state"] for member in json.loads(shown.stdout)["members"]] == ["alive"] * 3
         agents.processes[2].kill()
-        assert until(lambda: agents.members(0)["counted"] == 2, 40)
+        assert wait_until(lambda: agents.members(0)["counted"] == 2, 40)
         (death,) = agents.logged(0, '"dead"')
         assert death["member"] == "a2" and death["by"] in ("a0", "a1")
         assert agents.admin_command(0, "forget a1").startswith("-ERR")
         assert agents.admin_command(0, "forget a2").startswith("+OK")
-        assert until(lambda: agents.members(1)["members"][2]["state"] == "left", 40)
+        assert wait_until(lambda: agents.members(1)["members"][2]["state"] == "left", 40)
 
 
 def test_a_new_version_takes_over_the_address_and_the_others_see_one_agent_throughout(tmp_path):
     with Agents(tmp_path, 3, []) as agents:
-        assert until(lambda: all(agents.logged(n, '"agents counted"') for n in range(3)), 40)
-        agents.admins.append(free_place())
+        assert wait_until(lambda: all(agents.logged(n, '"agents counted"') for n in range(3)), 40)
+        agents.admins.append(free_address())
         agents._start(2, admin_addr=format_address(agents.admins[3]))
-        assert until(lambda: agents.logged(3, '"started"'), 40)
-        assert until(lambda: agents.logged(2, '"processes of this agent"'), 40)
+        assert wait_until(lambda: agents.logged(3, '"started"'), 40)
+        assert wait_until(lambda: agents.logged(2, '"processes of this agent"'), 40)
         agents.processes[2].terminate()
-        assert until(lambda: agents.logged(3, '"agents counted"'), 40)
+        assert wait_until(lambda: agents.logged(3, '"agents counted"'), 40)
         assert agents.processes[2].wait(20) == 0
         for n in (0, 1):
             assert [member["state"] for member in agents.members(n)["members"]] == ["alive"] * 3
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -8,7 +8,16 @@
 import gevent
 import pytest
 from gevent.event import Event
-from helpers import Far, Peer, asked, free_place, replies, served, socket, until
+from helpers import (
+    PeerConnection,
+    ScriptedServer,
+    free_address,
+    reply_script,
+    request_bytes,
+    response_bytes,
+    socket,
+    wait_until,
+)
 
 from nettledeal.configuration import check, read
 from nettledeal.configuration_files import ConfigError, address
@@ -116,9 +125,9 @@
 
 
 def test_a_door_that_cannot_be_opened_ends_the_start_and_an_open_one_takes_orders(tmp_path):
-    far = Far(replies(served(b"from afar")))
-    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
-    place, door = free_place(), free_place()
+    server = ScriptedServer(reply_script(response_bytes(b"from afar")))
+    entry = {"instanceId": "s1", "hostPort": format_address(server.address), "zone": "a"}
+    place, door = free_address(), free_address()
     told = {
         **TOLD,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
@@ -129,7 +138,7 @@
     agent = start(tmp_path, json.dumps(told).encode())
 
     def call(text):
-        return Peer(socket.create_connection(door)).send(text + b"\n").hear(end=b"never")
+        return PeerConnection(socket.create_connection(door)).send(text + b"\n").receive_message(end=b"never")
 
     try:
         assert "started" in agent.stderr.readline()
@@ -138,19 +147,24 @@
         _, log = other.communicate(timeout=20)
         assert (other.returncode, log.count("\n")) == (2, 1)
         assert log.startswith("nettledeal: admin_addr: ")
-        client = Peer(socket.create_connection(place))
+        client = PeerConnection(socket.create_connection(place))
         assert call(b"cordon s9").startswith(b"-ERR")
         assert call(b"cordon s1").startswith(b"+OK")
-        assert client.send(asked()).hear().startswith(b"HTTP/1.1 503 ")
+        assert client.send(request_bytes()).receive_message().startswith(b"HTTP/1.1 503 ")
         assert call(b"uncordon s1").startswith(b"+OK")
         # Cold, and the only one: it takes what it bears.
-        assert until(lambda: client.send(asked(b"r2")).hear().endswith(b"from afar"))
+        assert wait_until(lambda: client.send(request_bytes(b"r2")).receive_message().endswith(b"from afar"))
         assert call(b"quiesce").startswith(b"+OK")
         health = b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
-        assert client.send(health).hear().startswith(b"HTTP/1.1 503 ")
+        assert client.send(health).receive_message().startswith(b"HTTP/1.1 503 ")
         assert call(b"health").startswith(b"+OK")
         assert call(b"resume").startswith(b"+OK")
-        assert Peer(socket.create_connection(place)).send(health).hear().startswith(b"HTTP/1.1 200 ")
+        assert (
+            PeerConnection(socket.create_connection(place))
+            .send(health)
+            .receive_message()
+            .startswith(b"HTTP/1.1 200 ")
+        )
     finally:
         agent.kill()
         agent.stderr.close()
@@ -160,35 +174,35 @@
     told_to_end = Event()
 
     def script(peer):
-        while heard := peer.hear():
+        while heard := peer.receive_message():
             if b"ID: slow" in heard:
                 reached.append(heard)
                 told_to_end.wait()
-            peer.send(served(b"from afar"))
+            peer.send(response_bytes(b"from afar"))
 
     reached = []
-    far = Far(script)
-    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
+    server = ScriptedServer(script)
+    entry = {"instanceId": "s1", "hostPort": format_address(server.address), "zone": "a"}
     told = {**TOLD, "known": {"generation": 1, "reset": True, "instances": [entry]}}
-    place = free_place()
+    place = free_address()
     told |= {"listen": format_address(place), "discovery": "127.0.0.1:1"}
     agent = start(tmp_path, json.dumps(told).encode())
     try:
         assert "started" in agent.stderr.readline()
-        client = Peer(socket.create_connection(place))
-        assert client.send(asked()).hear().endswith(b"from afar")
-        slow = Peer(socket.create_connection(place)).send(asked(b"slow"))
-        assert until(lambda: reached)
+        client = PeerConnection(socket.create_connection(place))
+        assert client.send(request_bytes()).receive_message().endswith(b"from afar")
+        slow = PeerConnection(socket.create_connection(place)).send(request_bytes(b"slow"))
+        assert wait_until(lambda: reached)
         agent.send_signal(signal.SIGTERM)
         assert "stopping" in agent.stderr.readline()
         # Clients that have not heard of it yet are served, and sent away.
-        late = Peer(socket.create_connection(place)).send(asked(b"r2")).hear()
+        late = PeerConnection(socket.create_connection(place)).send(request_bytes(b"r2")).receive_message()
         assert late.endswith(b"from afar") and b"Connection: close" in late
-        assert client.hear() == b""
+        assert client.receive_message() == b""
         # What was out is answered, though it takes longer than its category's expiry, and told of the end.
         gevent.sleep(1.5)
         told_to_end.set()
-        assert b"Connection: close" in (answer := slow.hear()) and answer.endswith(b"from afar")
+        assert b"Connection: close" in (answer := slow.receive_message()) and answer.endswith(b"from afar")
         assert agent.wait(timeout=20) == 0
     finally:
         agent.kill()
@@ -197,12 +211,14 @@
 
 def blocked(agent):
     """Before anything else is done hang-up, interrupt and termination are: what comes early is kept."""
-    assert until(lambda: "SigBlk:\t0000000000004003" in Path(f"/proc/{agent.pid}/status").read_text(), 20)
+    assert wait_until(
+        lambda: "SigBlk:\t0000000000004003" in Path(f"/proc/{agent.pid}/status").read_text(), 20
+    )
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_an_order_to_end_amid_the_start_is_followed_once_it_can_be(tmp_path, number):
-    place = free_place()
+    place = free_address()
     told = {**TOLD, "listen": format_address(place), "discovery": "127.0.0.1:1"}
     agent = start(tmp_path, json.dumps(told).encode())
     try:
@@ -210,8 +226,10 @@
         agent.send_signal(number)
         assert "started" in agent.stderr.readline()
         # Whoever came meanwhile is met before the end.
-        client = Peer(socket.create_connection(place)).send(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        assert client.hear().startswith(b"HTTP/1.1 200 ")
+        client = PeerConnection(socket.create_connection(place)).send(
+            b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
+        )
+        assert client.receive_message().startswith(b"HTTP/1.1 200 ")
         assert agent.wait(timeout=20) == 0
     finally:
         agent.kill()
@@ -220,9 +238,11 @@
 
 def test_clients_that_go_on_coming_do_not_put_off_the_end(tmp_path):
     told_to_end = Event()
-    far = Far(lambda peer: peer.hear() and told_to_end.wait() and peer.send(served(b"from afar")))
-    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
-    place = free_place()
+    server = ScriptedServer(
+        lambda peer: peer.receive_message() and told_to_end.wait() and peer.send(response_bytes(b"from afar"))
+    )
+    entry = {"instanceId": "s1", "hostPort": format_address(server.address), "zone": "a"}
+    place = free_address()
     told = {
         **TOLD,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
@@ -232,8 +252,8 @@
     agent = start(tmp_path, json.dumps(told).encode())
     try:
         assert "started" in agent.stderr.readline()
-        slow = Peer(socket.create_connection(place)).send(asked(b"slow"))
-        assert until(lambda: far.peers)
+        slow = PeerConnection(socket.create_connection(place)).send(request_bytes(b"slow"))
+        assert wait_until(lambda: server.peers)
         agent.send_signal(signal.SIGTERM)
 
         def refused():
@@ -244,9 +264,9 @@
                 return True
             return False
 
-        assert until(refused)
+        assert wait_until(refused)
         told_to_end.set()
-        assert slow.hear().endswith(b"from afar")
+        assert slow.receive_message().endswith(b"from afar")
         assert agent.wait(timeout=20) == 0
     finally:
         agent.kill()
@@ -257,13 +277,16 @@
     def entry(place):
         return {"instanceId": "s1", "hostPort": format_address(place), "zone": "a"}
 
-    def discovery(far):
-        whole = {"generation": 1, "reset": True, "instances": [entry(far.address)]}
-        return Far(replies(served(json.dumps(whole).encode())), lambda peer: peer.hear() and gevent.sleep(60))
+    def discovery(server):
+        whole = {"generation": 1, "reset": True, "instances": [entry(server.address)]}
+        return ScriptedServer(
+            reply_script(response_bytes(json.dumps(whole).encode())),
+            lambda peer: peer.receive_message() and gevent.sleep(60),
+        )
 
-    far = Far(replies(served(b"first")))
-    lists = [discovery(far), discovery(Far(replies(served(b"second"))))]
-    place = free_place()
+    server = ScriptedServer(reply_script(response_bytes(b"first")))
+    lists = [discovery(server), discovery(ScriptedServer(reply_script(response_bytes(b"second"))))]
+    place = free_address()
     told = {**TOLD, "listen": format_address(place), "discovery": format_address(lists[0].address)}
     agent = start(tmp_path, json.dumps(told).encode())
     blocked(agent)
@@ -271,24 +294,24 @@
     try:
         assert "started" in agent.stderr.readline()
         assert "reloaded" in agent.stderr.readline()
-        assert until(lambda: len(lists[0].peers) == 2)
-        client = Peer(socket.create_connection(place))
-        assert client.send(asked()).hear().endswith(b"first")
+        assert wait_until(lambda: len(lists[0].peers) == 2)
+        client = PeerConnection(socket.create_connection(place))
+        assert client.send(request_bytes()).receive_message().endswith(b"first")
         file = tmp_path / "config.json"
         file.write_bytes(changed("discovery", "nowhere"))
         agent.send_signal(signal.SIGHUP)
         refused = agent.stderr.readline()
         assert "refused" in refused and "discovery: " in refused
-        assert client.send(asked(b"r2")).hear().endswith(b"first")
+        assert client.send(request_bytes(b"r2")).receive_message().endswith(b"first")
         told |= {"discovery": format_address(lists[1].address)}
         told["limits"] = TOLD["limits"] | {"sockets": 128}
         file.write_text(json.dumps(told))
         for _ in range(3):
             agent.send_signal(signal.SIGHUP)
         assert '"sockets"' in agent.stderr.readline()
-        assert until(lambda: len(lists[1].peers) == 2)
+        assert wait_until(lambda: len(lists[1].peers) == 2)
         # Its connection, its memory and its backend's new place.
-        assert until(lambda: client.send(asked(b"r3")).hear().endswith(b"second"))
+        assert wait_until(lambda: client.send(request_bytes(b"r3")).receive_message().endswith(b"second"))
         agent.send_signal(signal.SIGTERM)
         agent.send_signal(signal.SIGHUP)
         assert agent.wait(timeout=20) == 0
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 import pytest
-from helpers import Drive, answers, attempts, settings, until
+from helpers import BalancerDriver, answers, attempts, balancer_settings, wait_until
 from test_program import TOLD, changed
 from test_router import RouterRig
 
@@ -97,7 +97,9 @@
 
 
 def named(*categories, **changes):
-    told = {key: value for key, value in settings(**changes).items() if not key.startswith("categories.")}
+    told = {
+        key: value for key, value in balancer_settings(**changes).items() if not key.startswith("categories.")
+    }
     told["categories.count"] = len(categories)
     for n, (name, effect) in enumerate(categories):
         told |= {
@@ -112,19 +114,19 @@
 BOTH = named(("read", "rerunnable"), ("write", "exclusive"))
 
 
-def drive():
-    found = Drive()
+def driver():
+    found = BalancerDriver()
     found.balancer.apply_settings(found.now, BOTH)
     return found
 
 
-def names(drive):
+def names(driver):
     """Without those that the drive began with."""
-    return [c.name for c in drive.balancer.state.categories if not c.name.isdigit()]
+    return [c.name for c in driver.balancer.state.categories if not c.name.isdigit()]
 
 
-def index(drive, name):
-    return [category.name for category in drive.balancer.state.categories].index(name)
+def index(driver, name):
+    return [category.name for category in driver.balancer.state.categories].index(name)
 
 
 @pytest.mark.parametrize(
@@ -136,28 +138,28 @@
     ],
 )
 def test_effects_that_change(before, after, again):
-    at = drive()
+    at = driver()
     at.balancer.apply_settings(at.now, named(("x", before)))
-    old = attempts(at.take(0))[0]
+    old = attempts(at.submit(0))[0]
     at.balancer.apply_settings(at.now, named(("new", "rerunnable"), ("x", after)))
-    assert bool(attempts(at.back(old, Outcome.RESET))) is again
-    fresh = attempts(at.take(index(at, "x")))[0]
-    assert bool(attempts(at.back(fresh, Outcome.RESET))) is not again
+    assert bool(attempts(at.finish_attempt(old, Outcome.RESET))) is again
+    fresh = attempts(at.submit(index(at, "x")))[0]
+    assert bool(attempts(at.finish_attempt(fresh, Outcome.RESET))) is not again
 
 
 def test_attempts_that_change():
-    at = drive()
-    old = attempts(at.take(0))[0]
+    at = driver()
+    old = attempts(at.submit(0))[0]
     at.balancer.apply_settings(at.now, {**BOTH, "allowed.most_hand_offs": 1})
-    assert attempts(at.back(old, Outcome.RESET))
-    fresh = attempts(at.take(0))[0]
-    assert not attempts(at.back(fresh, Outcome.RESET))
+    assert attempts(at.finish_attempt(old, Outcome.RESET))
+    fresh = attempts(at.submit(0))[0]
+    assert not attempts(at.finish_attempt(fresh, Outcome.RESET))
 
 
 def test_what_was_learned_goes_by_name_not_by_place():
-    at = drive()
+    at = driver()
     for _ in range(30):
-        at.back(attempts(at.take(1))[0], after=333)
+        at.finish_attempt(attempts(at.submit(1))[0], after=333)
     was = at.balancer.state.categories[1]
     assert was.samples == 30
     at.balancer.apply_settings(
@@ -173,17 +175,17 @@
 
 
 def test_a_category_dropped_with_work_open_is_answered_by_its_own_rules():
-    at = drive()
-    out = attempts(at.take(1))[0]
+    at = driver()
+    out = attempts(at.submit(1))[0]
     at.balancer.apply_settings(at.now, named(("read", "rerunnable")))
-    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
+    assert [a.verdict for a in answers(at.finish_attempt(out, Outcome.RESET))] == [Verdict.FAILED]
     # Those that still name it go by them, too.
-    out = attempts(at.take(index(at, "write")))[0]
-    assert [a.verdict for a in answers(at.back(out, Outcome.RESET))] == [Verdict.FAILED]
+    out = attempts(at.submit(index(at, "write")))[0]
+    assert [a.verdict for a in answers(at.finish_attempt(out, Outcome.RESET))] == [Verdict.FAILED]
 
 
 def test_dropped_names_do_not_pile_up():
-    at = drive()
+    at = driver()
     for n in range(100):
         at.balancer.apply_settings(at.now, named((f"c{n}", "rerunnable")))
     assert len(at.balancer.state.categories) <= 17
@@ -210,4 +212,4 @@
     rig.router.update_settings(named(("add", "rerunnable")), {}, {"add": 300}, 50)
     assert rig.submit("write")[0].status is HTTPStatus.BAD_REQUEST
     rig.router.update_settings(BOTH, {}, {"read": 100, "write": 200}, 100)
-    assert rig.submit("write")[1] and until(lambda: not rig.router.queued)
+    assert rig.submit("write")[1] and wait_until(lambda: not rig.router.queued)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -2,7 +2,7 @@
 
 import gevent
 import pytest
-from helpers import SECOND, settings, until
+from helpers import SECOND, balancer_settings, wait_until
 
 from nettledeal.model import Lifecycle, Listing, Outcome
 from nettledeal.net.clock import Clock
@@ -47,7 +47,7 @@
     def __init__(self, most=100, zones=(0, 0), **changes):
         self.pools, self.counters, self.subscriptions, self.request_count = FakePools(), Counters(), [], 0
         self.clock = Clock()
-        router_settings = settings(allowed__probes=False, **changes)
+        router_settings = balancer_settings(allowed__probes=False, **changes)
         self.router = Router(
             Balancer(1, router_settings, self.clock.now()),
             self.clock,
@@ -74,11 +74,11 @@
         return pending, id
 
     def nth_exchange(self, n=1):
-        assert until(lambda: len(self.pools.exchanges) >= n)
+        assert wait_until(lambda: len(self.pools.exchanges) >= n)
         return self.pools.exchanges[n - 1]
 
     def status_of(self, pending):
-        assert until(lambda: pending.status is not None)
+        assert wait_until(lambda: pending.status is not None)
         return pending.status
 
 
@@ -129,7 +129,7 @@
     )
     request = ClientRequest(b"r", b"GET", b"/", b"", b"", "read", None, False, customer=name)
     rig.router.submit(request, rig.clock.now(), PendingAnswer())
-    assert until(lambda: seen == [number])
+    assert wait_until(lambda: seen == [number])
 
 
 def test_exchanges_are_cancelled_when_the_client_disconnects():
@@ -138,7 +138,7 @@
     exchange = rig.nth_exchange()
     rig.router.client_left(id)
     # Also if cancelling is not allowed: an exchange that is still unsent must not be sent for nobody.
-    assert until(lambda: exchange.cancelled)
+    assert wait_until(lambda: exchange.cancelled)
     exchange.on_reply(Reply(Outcome.RESET))
     gevent.sleep(0.01)
     assert len(rig.pools.exchanges) == 1
@@ -152,7 +152,7 @@
     exchange.on_reply(Reply(Outcome.RESET))
     pending.put(HTTPStatus.BAD_GATEWAY)
     rig.router.client_left(id)
-    assert until(lambda: not rig.router.busy)
+    assert wait_until(lambda: not rig.router.busy)
     assert len(rig.pools.exchanges) == 1
 
 
@@ -215,7 +215,7 @@
     for _ in range(3):
         rig.router.queue.put((lambda: order.append("event"), ()))
     rig.router.wake_at = rig.clock.now()
-    assert until(lambda: len(order) == 4)
+    assert wait_until(lambda: len(order) == 4)
     assert order[0] == "wake"
 
 
@@ -234,7 +234,7 @@
     gevent.sleep(0.01)  # longer than the duration that the reply reports
     exchange.on_reply(Reply(Outcome.FINISHED, duration=7))
     rig.status_of(pending)
-    assert until(lambda: durations == [7])
+    assert wait_until(lambda: durations == [7])
 
 
 def test_concurrent_requests_get_their_own_answers():
@@ -242,7 +242,7 @@
     answers = [rig.submit()[0] for _ in range(2)]
     for n, body in enumerate((b"one", b"two")):
         rig.nth_exchange(n + 1).on_reply(Reply(Outcome.FINISHED, body))
-    assert until(lambda: all(pending.status for pending in answers))
+    assert wait_until(lambda: all(pending.status for pending in answers))
     assert [pending.body for pending in answers] == [b"one", b"two"]
 
 
@@ -277,7 +277,7 @@
     rig.router.update_catalogue(
         CatalogueUpdate(2, False, [Listing("b0", lifecycle=lifecycle)], {"b0": ADDRESS})
     )
-    assert until(lambda: set(rig.pools.pools) == {"b1"})
+    assert wait_until(lambda: set(rig.pools.pools) == {"b1"})
     for _ in range(2):
         rig.submit()
     assert rig.nth_exchange(2)
@@ -287,13 +287,13 @@
 def test_full_list_removes_backends_that_it_does_not_name():
     rig = RouterRig()
     rig.router.update_catalogue(CatalogueUpdate(2, True, [Listing("b1")], {"b1": ADDRESS}))
-    assert until(lambda: set(rig.pools.pools) == {"b1"})
+    assert wait_until(lambda: set(rig.pools.pools) == {"b1"})
 
 
 def test_balancer_subscribes_again_after_discovery_is_lost():
     rig = RouterRig(rules__ask_within=160)
     rig.router.discovery_lost()
-    assert until(lambda: rig.subscriptions)
+    assert wait_until(lambda: rig.subscriptions)
 
 
 def test_invariants_are_asserted_in_debug_runs():
@@ -338,7 +338,7 @@
     rig.router.queue.put((lambda: order.append("last"), ()))
     assert rig.router.cordon("b0")
     assert sorted(rig.pools.pools) == ["b1"]
-    assert order[0] == "cordon" and until(lambda: len(order) == 5)
+    assert order[0] == "cordon" and wait_until(lambda: len(order) == 5)
     # The list names it as running at another address: it stays cordoned and is reached there afterwards.
     moved = CatalogueUpdate(2, False, [Listing("b0", zone=0)], {"b0": ("127.0.0.1", 10)})
     rig.router.update_catalogue(moved)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -3,23 +3,23 @@
 from collections import Counter
 
 import pytest
-from helpers import SECOND, Drive, answers, attempts, fleet, settings
+from helpers import SECOND, BalancerDriver, answers, attempts, balancer_settings, make_listings
 
 from nettledeal.model import Lifecycle, Listing, Outcome
 from nettledeal.policy.admission import OVERLOAD
 from nettledeal.policy.balancer import Balancer
 from nettledeal.policy.shared_state import SAMPLE_SIZE
 
-FULL_FLEET = fleet([0] * 20)
+FULL_FLEET = make_listings([0] * 20)
 
 
 @pytest.mark.parametrize("size", [10, 70, 300, 3000])
 def test_number_of_candidates_does_not_grow_with_the_fleet(size, monkeypatch):
-    drive = Drive([Listing(f"b{n}", zone=n % 3) for n in range(size)], balancers=500)
+    driver = BalancerDriver([Listing(f"b{n}", zone=n % 3) for n in range(size)], balancers=500)
     looked = set()
-    view = drive.balancer.loads.cost
-    monkeypatch.setattr(drive.balancer.loads, "cost", lambda b, now: looked.add(b.id) or view(b, now))
-    assert attempts(drive.take())
+    view = driver.balancer.loads.cost
+    monkeypatch.setattr(driver.balancer.loads, "cost", lambda b, now: looked.add(b.id) or view(b, now))
+    assert attempts(driver.submit())
     assert 2 <= len(looked) <= 2 * SAMPLE_SIZE
 
 
@@ -27,7 +27,10 @@
     seen = Counter()
     for seed in range(300):
         seen.update(
-            attempt.backend for attempt in attempts(Drive(fleet([0] * 30), seed=seed, balancers=300).take())
+            attempt.backend
+            for attempt in attempts(
+                BalancerDriver(make_listings([0] * 30), seed=seed, balancers=300).submit()
+            )
         )
     assert len(seen) == 30
     assert max(seen.values()) < 30
@@ -38,54 +41,56 @@
     """With slow answers everywhere all agents together have at most twice the overload in flight."""
     out = 0.0
     for seed in range(agents):
-        drive = Drive(FULL_FLEET, seed=seed, balancers=agents, categories__0__due_time=2 * SECOND)
+        driver = BalancerDriver(FULL_FLEET, seed=seed, balancers=agents, categories__0__due_time=2 * SECOND)
         waiting = []
         for turn in range(60):
-            drive.now += SECOND // 2
-            while waiting and waiting[0][0] <= drive.now:
+            driver.now += SECOND // 2
+            while waiting and waiting[0][0] <= driver.now:
                 attempt = waiting.pop(0)[1]
-                drive.balancer.on_attempt_end(
-                    drive.now, attempt.work_item, 0, Outcome.FINISHED, 20_000, closed=True, report={}
+                driver.balancer.on_attempt_end(
+                    driver.now, attempt.work_item, 0, Outcome.FINISHED, 20_000, closed=True, report={}
                 )
-            waiting += [(drive.now + 20_000, attempt) for attempt in attempts(drive.take(0, 4 * SECOND))]
+            waiting += [(driver.now + 20_000, attempt) for attempt in attempts(driver.submit(0, 4 * SECOND))]
             out += len(waiting) / 30 if turn >= 30 else 0
     assert 0.2 * len(FULL_FLEET) <= out <= 2 * OVERLOAD * len(FULL_FLEET)
 
 
 def test_unused_backend_is_estimated_by_its_machine_type():
-    drive = Drive([Listing(f"b{n}", machine_type=n % 2) for n in range(24)], balancers=100)
+    driver = BalancerDriver([Listing(f"b{n}", machine_type=n % 2) for n in range(24)], balancers=100)
     for _ in range(150):
-        for attempt in attempts(drive.take()):
-            drive.back(attempt, after=2400 if int(attempt.backend[1:]) % 2 else 800)
+        for attempt in attempts(driver.submit()):
+            driver.finish_attempt(attempt, after=2400 if int(attempt.backend[1:]) % 2 else 800)
     kinds = [Listing("n0"), Listing("n1", machine_type=1)]
-    drive.balancer.update_backends(drive.now, kinds, whole=False, cached=False)
-    loads, backends = drive.balancer.loads, drive.balancer.state.backends
-    assert loads.cost(backends["n1"], drive.now) > 1.5 * loads.cost(backends["n0"], drive.now)
+    driver.balancer.update_backends(driver.now, kinds, whole=False, cached=False)
+    loads, backends = driver.balancer.loads, driver.balancer.state.backends
+    assert loads.cost(backends["n1"], driver.now) > 1.5 * loads.cost(backends["n0"], driver.now)
 
 
 @pytest.mark.parametrize(("age", "sharp"), [(0, True), (30 * SECOND, False)])
 def test_the_draw_is_sharp_only_while_readings_are_fresh(age, sharp):
-    drive = Drive(fleet([0] * 10))
-    backends = list(drive.balancer.state.backends.values())
+    driver = BalancerDriver(make_listings([0] * 10))
+    backends = list(driver.balancer.state.backends.values())
     for b in backends:
         for _ in range(20):
-            drive.balancer.on_probe(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 3 * (b.id != "b0")})
-    drive.now += age
+            driver.balancer.on_probe(
+                driver.now, b.id, Outcome.FINISHED, 3, {"outstanding": 3 * (b.id != "b0")}
+            )
+    driver.now += age
     picks = Counter()
     for _ in range(200):
-        for attempt in attempts(drive.take()):
+        for attempt in attempts(driver.submit()):
             picks[attempt.backend] += 1
-            drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
+            driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert (picks["b0"] > 0.5 * sum(picks.values())) == sharp
 
 
 @pytest.mark.parametrize("configured", [None, 0, -5, 1, 10**9])
 def test_any_configured_number_of_agents_is_accepted(configured):
-    plain = settings(balancers=configured)
+    plain = balancer_settings(balancers=configured)
     if configured is None:
         del plain["balancers"]
     balancer = Balancer(1, plain, 0)
-    balancer.update_backends(0, fleet(), whole=True, cached=False)
+    balancer.update_backends(0, make_listings(), whole=True, cached=False)
     for n in range(30):
         assert balancer.submit(n * SECOND, n, 0, (n + 2) * SECOND).actions
 
@@ -97,30 +102,32 @@
         ([], False),
         ([Listing("b0")] * 50, True),
         ([Listing("b0"), Listing("b0", lifecycle=Lifecycle.GONE)], False),
-        (fleet((1, 2, 3)), True),
+        (make_listings((1, 2, 3)), True),
     ],
 )
 def test_odd_lists(listings, sent):
-    actions = Drive(listings, balancers=500).take()
+    actions = BalancerDriver(listings, balancers=500).submit()
     assert bool(attempts(actions)) == sent
     assert bool(answers(actions)) != sent
 
 
 def test_whole_list_replaced_under_traffic():
-    drive = Drive(fleet((0, 0, 1)), balancers=300)
-    (attempt,) = attempts(drive.take(1))
-    drive.balancer.update_backends(drive.now, [Listing(f"n{n}") for n in range(40)], whole=True, cached=False)
+    driver = BalancerDriver(make_listings((0, 0, 1)), balancers=300)
+    (attempt,) = attempts(driver.submit(1))
+    driver.balancer.update_backends(
+        driver.now, [Listing(f"n{n}") for n in range(40)], whole=True, cached=False
+    )
     # It may have run on the removed backend, so it is not sent again; new work goes to the new backends.
-    assert not attempts(drive.back(attempt, Outcome.RESET))
-    assert all(attempt.backend.startswith("n") for _ in range(10) for attempt in attempts(drive.take()))
+    assert not attempts(driver.finish_attempt(attempt, Outcome.RESET))
+    assert all(attempt.backend.startswith("n") for _ in range(10) for attempt in attempts(driver.submit()))
 
 
 def test_a_burst_after_minutes_of_silence():
-    drive = Drive(FULL_FLEET, balancers=500)
-    for attempt in attempts(drive.take()):
-        drive.back(attempt)
-    drive.now += 300 * SECOND
-    actions = [action for _ in range(50) for action in drive.take()]
+    driver = BalancerDriver(FULL_FLEET, balancers=500)
+    for attempt in attempts(driver.submit()):
+        driver.finish_attempt(attempt)
+    driver.now += 300 * SECOND
+    actions = [action for _ in range(50) for action in driver.submit()]
     assert 1 <= len(attempts(actions)) <= OVERLOAD
     assert len(attempts(actions)) + len(answers(actions)) == 50
 
@@ -132,11 +139,11 @@
     listings = [Listing(f"w{n}") for n in range(warm)] + [Listing(f"c{n}", started_at=now) for n in range(10)]
     seen, total = Counter(), 0
     for seed in range(agents):
-        drive = Drive(listings, seed=seed, balancers=agents, now=now)
+        driver = BalancerDriver(listings, seed=seed, balancers=agents, now=now)
         for name, queue in [(f"w{n}", 40) for n in range(warm)] + [(f"c{n}", 0) for n in range(10)]:
             for _ in range(12):
-                drive.balancer.on_probe(now, name, Outcome.FINISHED, 3, {"outstanding": queue})
-        for attempt in attempts(drive.take()):
+                driver.balancer.on_probe(now, name, Outcome.FINISHED, 3, {"outstanding": queue})
+        for attempt in attempts(driver.submit()):
             seen[attempt.backend] += 1
             total += 1
     # At most 0.7 of the overload, which is 3 times what each cold backend bears now, as a share of the work
@@ -148,43 +155,45 @@
 
 
 def test_agents_agree_on_the_backend_of_a_key_and_a_hot_key_spreads():
-    drives = [Drive(fleet([0] * 30), seed=seed, family_info__warm_keys=True) for seed in range(40)]
+    drives = [
+        BalancerDriver(make_listings([0] * 30), seed=seed, family_info__warm_keys=True) for seed in range(40)
+    ]
     cold, hot = Counter(), Counter()
-    for drive in drives:
-        cold.update(attempt.backend for attempt in attempts(drive.take(key="k1")))
+    for driver in drives:
+        cold.update(attempt.backend for attempt in attempts(driver.submit(key="k1")))
     for _ in range(60):
-        for attempt in attempts(drives[0].take(key="k2")):
+        for attempt in attempts(drives[0].submit(key="k2")):
             hot[attempt.backend] += 1
-            drives[0].back(attempt)
+            drives[0].finish_attempt(attempt)
     assert cold.most_common(1)[0][1] > 0.7 * sum(cold.values())
     assert len(hot) > 2
 
 
 @pytest.mark.parametrize(("wait", "sent"), [(SECOND // 2, False), (3 * SECOND, True)])
 def test_agent_that_defers_everything_sends_a_trial_after_a_while(wait, sent):
-    drive = Drive()
-    drive.back(attempts(drive.take())[0])
-    drive.balancer.state.categories[0].base_time = 30_000.0
-    drive.now += wait
-    assert bool(attempts(drive.take())) == sent
+    driver = BalancerDriver()
+    driver.finish_attempt(attempts(driver.submit())[0])
+    driver.balancer.state.categories[0].base_time = 30_000.0
+    driver.now += wait
+    assert bool(attempts(driver.submit())) == sent
 
 
 def test_one_slow_answer_does_not_defer_a_whole_category():
-    drive = Drive(categories__0__payoff=1.0)
-    drive.back(attempts(drive.take())[0], after=9900)
-    drive.now += SECOND // 10
-    assert attempts(drive.take())
+    driver = BalancerDriver(categories__0__payoff=1.0)
+    driver.finish_attempt(attempts(driver.submit())[0], after=9900)
+    driver.now += SECOND // 10
+    assert attempts(driver.submit())
 
 
 def test_base_time_rises_slower_than_it_falls():
     usual = {}
     for after in (500, 8000):
-        drive = Drive()
-        start = drive.balancer.state.guess_base_time(drive.balancer.state.categories[0])
+        driver = BalancerDriver()
+        start = driver.balancer.state.guess_base_time(driver.balancer.state.categories[0])
         for _ in range(5):
-            drive.back(attempts(drive.take(0, 20_000))[0], after=after)
-            drive.now += 3 * SECOND
-        usual[after] = drive.balancer.state.categories[0].base_time
+            driver.finish_attempt(attempts(driver.submit(0, 20_000))[0], after=after)
+            driver.now += 3 * SECOND
+        usual[after] = driver.balancer.state.categories[0].base_time
     assert usual[500] < 0.6 * start
     assert usual[8000] < 3 * start
 
@@ -199,26 +208,26 @@
         now = 100_000
         listings = [*(Listing(f"w{n}") for n in range(7)), Listing("c", started_at=now - age * SECOND)]
         listings += [Listing(f"a{n}", zone=1) for n in range(away)]
-        drive = Drive(listings, seed=seed, balancers=300, now=now)
+        driver = BalancerDriver(listings, seed=seed, balancers=300, now=now)
         for n in range(7):
-            drive.balancer.on_probe(now, f"w{n}", Outcome.FINISHED, 3, {"outstanding": 0})
+            driver.balancer.on_probe(now, f"w{n}", Outcome.FINISHED, 3, {"outstanding": 0})
         for _ in range(20):
-            for attempt in attempts(drive.take()):
+            for attempt in attempts(driver.submit()):
                 warm[attempt.backend] += attempt.backend != "c"
                 cold += attempt.backend == "c"
-                drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
+                driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     usual = sum(warm.values()) / 7
     assert least * usual < cold < most * usual
 
 
 def test_learned_slowness_excludes_the_warm_up():
-    drive = Drive([Listing("c", started_at=99_000), Listing("w")], rules__warm_within=60 * SECOND)
-    b = drive.balancer.state.backends["c"]
+    driver = BalancerDriver([Listing("c", started_at=99_000), Listing("w")], rules__warm_within=60 * SECOND)
+    b = driver.balancer.state.backends["c"]
     for _ in range(40):
-        for attempt in attempts(drive.take()):
-            slow = drive.balancer.health.capacity(b, drive.now) if attempt.backend == "c" else 1.0
-            drive.back(attempt, after=int(1000 / slow))
-    assert abs(drive.balancer.loads._log_slowness(b, drive.now)) < 0.3
+        for attempt in attempts(driver.submit()):
+            slow = driver.balancer.health.capacity(b, driver.now) if attempt.backend == "c" else 1.0
+            driver.finish_attempt(attempt, after=int(1000 / slow))
+    assert abs(driver.balancer.loads._log_slowness(b, driver.now)) < 0.3
 
 
 def test_cold_backend_gets_work_whose_key_prefers_it():
@@ -226,54 +235,54 @@
     now, sent, named = 100_000, 0, 0
     listings = [Listing(f"b{n}", started_at=0 if n else now - 4 * SECOND) for n in range(40)]
     for seed in range(20):
-        drive = Drive(listings, seed=seed, balancers=20, now=now, family_info__warm_keys=True)
-        affinity = drive.balancer.key_affinity
+        driver = BalancerDriver(listings, seed=seed, balancers=20, now=now, family_info__warm_keys=True)
+        affinity = driver.balancer.key_affinity
         homes = [(key, affinity.preferred(key)[0].id) for key in map("k{}".format, range(400))]
         mine = [key for key, home in homes if home == "b0"][:3]
         others = [key for key, home in homes if home != "b0"][:117]
         for key in 2 * (mine + others):
             named += key in mine
-            for attempt in attempts(drive.take(key=key)):
+            for attempt in attempts(driver.submit(key=key)):
                 sent += key in mine and attempt.backend == "b0"
-                drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
+                driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert named == 120
     assert 0.35 * named < sent < 0.95 * named
 
 
 @pytest.mark.parametrize(("trust", "sharp"), [(0.5, True), (0.05, False)])
 def test_the_draw_is_no_sharper_than_reports_predict(trust, sharp):
-    drive = Drive(fleet([0] * 10))
-    loads = drive.balancer.loads
+    driver = BalancerDriver(make_listings([0] * 10))
+    loads = driver.balancer.loads
     loads.squares, loads.products = 1e6, trust * 1e6
-    for b in drive.balancer.state.backends.values():
-        drive.balancer.on_probe(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 0})
-        assert (loads._sharpness(b, drive.now, 800) > 11) == sharp
-        assert loads._sharpness(b, drive.now + 60 * SECOND, 800) < 3.1
+    for b in driver.balancer.state.backends.values():
+        driver.balancer.on_probe(driver.now, b.id, Outcome.FINISHED, 3, {"outstanding": 0})
+        assert (loads._sharpness(b, driver.now, 800) > 11) == sharp
+        assert loads._sharpness(b, driver.now + 60 * SECOND, 800) < 3.1
 
 
 @pytest.mark.parametrize(("took", "trusted"), [(800, False), (8_000, True)])
 def test_a_reading_is_trusted_for_a_few_work_items(took, trusted):
-    drive = Drive(fleet([0] * 10))
-    loads = drive.balancer.loads
+    driver = BalancerDriver(make_listings([0] * 10))
+    loads = driver.balancer.loads
     loads.squares = loads.products = 1e6
-    drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0})
-    b = drive.balancer.state.backends["b0"]
+    driver.balancer.on_probe(driver.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0})
+    b = driver.balancer.state.backends["b0"]
     # After 1.5 s a queue of short work items has changed many times, one of long ones has not.
-    assert (loads._sharpness(b, drive.now + 15_000, took) > 8) is trusted
+    assert (loads._sharpness(b, driver.now + 15_000, took) > 8) is trusted
 
 
 @pytest.mark.parametrize(("slower", "kept"), [(0.8, True), (1.6, False)])
 def test_a_key_stays_at_its_backend_while_that_is_not_much_slower(slower, kept):
-    drive = Drive(fleet([0] * 10), family_info__warm_keys=True)
-    home = drive.balancer.key_affinity.preferred("k")[0]
-    home.log_slowness, home.slowness_at, home.answered_at = slower, drive.now, drive.now
+    driver = BalancerDriver(make_listings([0] * 10), family_info__warm_keys=True)
+    home = driver.balancer.key_affinity.preferred("k")[0]
+    home.log_slowness, home.slowness_at, home.answered_at = slower, driver.now, driver.now
     named, sent = 0, 0
     for key in map("k{}".format, range(400)):
-        mine = drive.balancer.key_affinity.preferred(key)[0] is home
+        mine = driver.balancer.key_affinity.preferred(key)[0] is home
         named += mine
-        for attempt in attempts(drive.take(key=key)):
+        for attempt in attempts(driver.submit(key=key)):
             sent += mine and attempt.backend == home.id
-            drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
+            driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert (sent > 0.5 * named) == kept
 
 
@@ -282,40 +291,40 @@
     [(1, 2.0, True), (2, 2.0, True), (3, 2.0, False), (3, 1.0, True), (4, 1.0, False)],
 )
 def test_two_in_flight_do_not_reach_a_small_limit(out, slowdown, sent):
-    drive = Drive(fleet([0] * 10), balancers=40)
-    drive.balancer.admission.limit = 0.12  # times ten backends: room for little more than one
-    drive.balancer.state.open, drive.balancer.state.mean_open = out, 0.3
-    drive.balancer.state.open_at = drive.now
-    drive.balancer.admission.slowdown = slowdown
-    assert bool(attempts(drive.take())) == sent
+    driver = BalancerDriver(make_listings([0] * 10), balancers=40)
+    driver.balancer.admission.limit = 0.12  # times ten backends: room for little more than one
+    driver.balancer.state.open, driver.balancer.state.mean_open = out, 0.3
+    driver.balancer.state.open_at = driver.now
+    driver.balancer.admission.slowdown = slowdown
+    assert bool(attempts(driver.submit())) == sent
 
 
 @pytest.mark.parametrize(("sooner", "more"), [(0.2, 1.22), (5.0, 1.35)])
 def test_cold_backend_that_answers_sooner_than_assumed_gets_somewhat_more(sooner, more):
     """The others look much worse, so it gets its whole share: 0.7 of the overload at its capacity."""
     sent, now, turns = 0, 100_000, 1500
-    listings = [*fleet([0] * 7), Listing("c", started_at=now - 4 * SECOND)]
-    drive = Drive(listings, balancers=300, now=now)
-    for b in drive.balancer.state.backends.values():
+    listings = [*make_listings([0] * 7), Listing("c", started_at=now - 4 * SECOND)]
+    driver = BalancerDriver(listings, balancers=300, now=now)
+    for b in driver.balancer.state.backends.values():
         b.log_slowness, b.slowness_at = (-sooner if b.id == "c" else 2.0), now
     for _ in range(turns):
-        for attempt in attempts(drive.take()):
+        for attempt in attempts(driver.submit()):
             sent += attempt.backend == "c"
-            drive.back(attempt, Outcome.CANCELLED, after=0, closed=True)
-    capacity = drive.balancer.health.capacity(drive.balancer.state.backends["c"], now)
+            driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
+    capacity = driver.balancer.health.capacity(driver.balancer.state.backends["c"], now)
     assert sent / turns == pytest.approx(0.7 * 3.0 * more * capacity / 8, rel=0.08)
 
 
 @pytest.mark.parametrize(("took", "deferred"), [(800, 0), (5000, 1)])
 def test_one_long_work_item_does_not_make_a_quiet_agent_defer_the_next(took, deferred):
     """200 agents, each limited to about one work item: over it by the mean, while the fleet may be idle."""
-    drive = Drive(fleet([0] * 33), balancers=200, categories__0__due_time=3 * SECOND)
+    driver = BalancerDriver(make_listings([0] * 33), balancers=200, categories__0__due_time=3 * SECOND)
     for _ in range(30):
-        drive.now += SECOND
-        for attempt in attempts(drive.take(0, 4 * SECOND)):
-            drive.back(attempt, after=took)
-    drive.now += 3 * SECOND
-    drive.balancer.admission.slowdown = took / 800
-    drive.take(0, 6 * SECOND)
-    drive.now += 17 * SECOND // 10
-    assert len(answers(drive.take(0, 4 * SECOND))) == deferred
+        driver.now += SECOND
+        for attempt in attempts(driver.submit(0, 4 * SECOND)):
+            driver.finish_attempt(attempt, after=took)
+    driver.now += 3 * SECOND
+    driver.balancer.admission.slowdown = took / 800
+    driver.submit(0, 6 * SECOND)
+    driver.now += 17 * SECOND // 10
+    assert len(answers(driver.submit(0, 4 * SECOND))) == deferred
--- a/tests/test_settings_switch.py
+++ b/tests/test_settings_switch.py
@@ -14,13 +14,21 @@
 
 import gevent
 import pytest
-from helpers import Far, Peer, asked, free_place, served, socket, until
+from helpers import (
+    PeerConnection,
+    ScriptedServer,
+    free_address,
+    request_bytes,
+    response_bytes,
+    socket,
+    wait_until,
+)
 from test_program import start
 
 from nettledeal.hash_ring import stable_hash
 from nettledeal.net.address import format_address
 
-REFUSED = served(status=b"503 Full", more=b"X-Not-Processed: 1\r\n")
+REFUSED = response_bytes(status=b"503 Full", more=b"X-Not-Processed: 1\r\n")
 RULES = {"cold_from": 0.3, "warm_within": 60_000_000_000, "overload_factor": 3.0, "tip_after": 1_500_000_000}
 CATEGORY = {"name": "b", "effect": "unsafe", "expiry": 4_000_000_000, "due_time": 1_000_000_000}
 OLD_SETTINGS = {
@@ -56,13 +64,13 @@
         self.runs_by_backend: Counter[int] = Counter()  # by backend number
         self.refused = 0
         self.peers: dict[int, set] = {n: set() for n in range(10)}
-        self.fars = [Far(lambda peer, n=n: self._serve(n, peer)) for n in range(10)]
+        self.fars = [ScriptedServer(lambda peer, n=n: self._serve(n, peer)) for n in range(10)]
 
     def _serve(self, n, peer):
         peers = self.peers[n]
         peers.add(peer)
         try:
-            while heard := peer.hear():
+            while heard := peer.receive_message():
                 if len(peers) > self.max_connections:
                     self.refused += 1
                     peer.send(REFUSED)
@@ -73,7 +81,7 @@
                 gevent.sleep(0.004)
                 if int(id[1:]) % 10 == 7:
                     break  # it has run, but no response is sent
-                peer.send(served())
+                peer.send(response_bytes())
         except OSError:
             pass
         finally:
@@ -86,18 +94,18 @@
         entries = [
             {
                 "instanceId": f"s{n}",
-                "hostPort": format_address(far.address),
+                "hostPort": format_address(server.address),
                 "zone": "a",
                 "startedAtMs": now if n >= 6 else 0,
             }
-            for n, far in enumerate(self.fars)
+            for n, server in enumerate(self.fars)
         ]
         return {"generation": 1, "reset": True, "instances": entries}
 
 
 @contextmanager
 def agent(tmp_path, fleet, settings):
-    address = free_place()
+    address = free_address()
     configuration = {
         "name": "n1",
         "listen": format_address(address),
@@ -125,8 +133,8 @@
     def ask(numbers):
         client = None
         for n in numbers:
-            client = client or Peer(socket.create_connection(address))
-            heard = client.send(asked(b"r%d" % n)).hear()
+            client = client or PeerConnection(socket.create_connection(address))
+            heard = client.send(request_bytes(b"r%d" % n)).receive_message()
             seen[heard[9:12]] += 1
             if b"connection: close" in heard.lower() or not heard:
                 client.sock.close()
@@ -145,7 +153,7 @@
         (tmp_path / "config.json").write_text(json.dumps(configuration | {"settings": NEW_SETTINGS}))
         items_before, runs_before = set(fleet.runs_by_item), Counter(fleet.runs_by_backend)
         process.send_signal(signal.SIGHUP)
-        assert until(lambda: any('"reloaded"' in line for line in lines))
+        assert wait_until(lambda: any('"reloaded"' in line for line in lines))
         after_switch = send_requests(address, 1000, 120)
         runs_since = fleet.runs_by_backend - runs_before
     # Unsafe requests run at most once. One whose response was lost is a failure, not a retry.
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -23,7 +23,7 @@
 
 import gevent
 from gevent import socket
-from helpers import Far, Peer, free_place, served
+from helpers import PeerConnection, ScriptedServer, free_address, response_bytes
 
 from nettledeal.net.address import format_address
 
@@ -36,14 +36,14 @@
         self.folder = folder
         self.runs: Counter[bytes] = Counter()
         self.seen: Counter[str] = Counter()
-        self.fars = [Far(self._backend) for _ in range(backends)]
-        self.place = free_place()
+        self.fars = [ScriptedServer(self._backend) for _ in range(backends)]
+        self.place = free_address()
         entries = [
-            {"instanceId": f"s{n}", "hostPort": format_address(far.address), "zone": "a"}
-            for n, far in enumerate(self.fars)
+            {"instanceId": f"s{n}", "hostPort": format_address(server.address), "zone": "a"}
+            for n, server in enumerate(self.fars)
         ]
         whole = {"generation": 1, "reset": True, "instances": entries}
-        self.list = Far(lambda peer: self._discovery(peer, json.dumps(whole).encode()))
+        self.list = ScriptedServer(lambda peer: self._discovery(peer, json.dumps(whole).encode()))
         category = {"name": "b", "effect": "unsafe", "expiry": 1_000_000_000, "due_time": 400_000_000}
         self.told = {
             "name": "n1",
@@ -60,21 +60,21 @@
             },
         }
         self.number = 0
-        self.free: list[Peer] = []
+        self.free: list[PeerConnection] = []
 
     def _backend(self, peer):
-        while heard := peer.hear():
+        while heard := peer.receive_message():
             for line in heard.split(b"\r\n"):
                 if line.startswith(b"X-Request-ID: "):
                     self.runs[line[14:]] += 1
             gevent.sleep(WORK)
-            peer.send(served(b"done"))
+            peer.send(response_bytes(b"done"))
 
     @staticmethod
     def _discovery(peer, whole):
-        heard = peer.hear()
+        heard = peer.receive_message()
         if b"watch=1" not in heard:
-            peer.send(served(whole))
+            peer.send(response_bytes(whole))
             return
         peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         with suppress(OSError):
@@ -89,7 +89,7 @@
         file = self.folder / f"config{self.number}.json"
         told = {**self.told, "settings": {**self.told["settings"], "zone": -1}} if faulty else self.told
         file.write_text(json.dumps(told))
-        door = free_place()
+        door = free_address()
         process = subprocess.Popen(
             [sys.executable, "-O", "-m", "nettledeal"],
             stderr=subprocess.DEVNULL,
@@ -146,8 +146,12 @@
         asked = head + b"X-Timeout-Ms: 1000\r\nContent-Length: 2\r\n\r\nhi"
         for kept in (True, False):
             try:
-                peer = self.free.pop() if kept and self.free else Peer(socket.create_connection(self.place))
-                heard = peer.send(asked).hear()
+                peer = (
+                    self.free.pop()
+                    if kept and self.free
+                    else PeerConnection(socket.create_connection(self.place))
+                )
+                heard = peer.send(asked).receive_message()
             except OSError:
                 heard = b""
             if heard:
