--- a/src/nettledeal/__main__.py
+++ b/src/nettledeal/__main__.py
@@ -1,13 +1,11 @@
-"""`python -m nettledeal` is the agent, told everything by `EDGE_CONFIG`; with words behind, the command
-line.
-"""
+"""`python -m nettledeal` runs the agent by `EDGE_CONFIG`; with arguments it is the command line."""
 
 import sys
 
 if len(sys.argv) > 1:
     from nettledeal.cli import main
 else:
-    # Nothing of the command line is loaded beside each caller, where the agent's start and memory count.
+    # Don't import the command line here: the agent's start time and memory matter.
     from nettledeal.agent import main
 
 sys.exit(main())
--- a/src/nettledeal/agent.py
+++ b/src/nettledeal/agent.py
@@ -1,12 +1,12 @@
-"""The agent as a program: wires it together, starts it, reloads it, stops it."""
+"""The agent process: assembles its parts, starts, reloads and stops it."""
 
 from __future__ import annotations
 
 import signal
 
 if hasattr(signal, "pthread_sigmask"):
-    # Before all else is imported, which takes a while: an order to reload or to end that comes before anybody
-    # can follow it would end the process at once, with clients waiting to be met. It is kept until then.
+    # Block these signals before the slow imports below: one that arrives before its handler is installed
+    # would kill the process while clients wait to be accepted. A blocked signal stays pending until then.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
 import gc
@@ -20,7 +20,7 @@
 from gevent.event import Event
 
 from nettledeal import configuration
-from nettledeal.admin_orders import AdminOrders
+from nettledeal.admin_handler import AdminCommandHandler
 from nettledeal.configuration import Configuration
 from nettledeal.configuration_change import check_replacement
 from nettledeal.configuration_files import ConfigError
@@ -37,24 +37,25 @@
 from nettledeal.net.transport.discovery_watch import DiscoveryWatch
 from nettledeal.net.transport.listener import Listener
 from nettledeal.policy.balancer import Balancer
-from nettledeal.reloading import put_in_force
-from nettledeal.siblings import Siblings
+from nettledeal.reloading import apply_reload
+from nettledeal.sibling_processes import SiblingProcesses
 
 if TYPE_CHECKING:
     from nettledeal.peers import Peers
 
 log = structlog.get_logger()
 
-# What an operator or a supervisor sends.
-ORDERS = {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
-# Clients that have not heard of the end yet come for 0.4 s at most; those just met have a moment more
-# to ask. Each tenth more is one in which nobody serves.
-LINGER = 0.45
-LAST_CALL = 0.1
-# Connections that rest are ended so long before the end, once a successor serves.
-RESTING = 0.4
-# A forerunner that is just ending may still hold the address.
-BIND_WITHIN = 2.0
+# Sent by an operator or a supervisor: reload, or stop gracefully.
+HANDLED_SIGNALS = {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
+# At shutdown without a successor, new connections are accepted for this long: clients that don't know of the
+# shutdown yet arrive for 0.4 s at most. Any longer only extends the time in which nobody serves.
+DRAIN_ACCEPT_S = 0.45
+# How long a connection must have been idle to be closed, so that a client just accepted can send a request.
+IDLE_BEFORE_CLOSE_S = 0.1
+# With a successor, idle connections are closed this long before the shutdown deadline.
+IDLE_CLOSE_LEAD_S = 0.4
+# How long to retry binding: a predecessor that is just stopping may still hold the address.
+BIND_TIMEOUT_S = 2.0
 
 
 class Agent:
@@ -63,36 +64,36 @@
         self.config = config
         self.clock = Clock()
         self.counters = Counters()
-        # Other processes of this agent: a version that goes, or one that comes.
-        self.siblings = Siblings(config, self.clock, self.counters, self._share)
-        self.within = within = self._within(1)
-        connect_within = config.setting("allowed.connect_timeout")
+        # The other processes of this agent, present during an upgrade.
+        self.siblings = SiblingProcesses(config, self.clock, self.counters, self._resize_budgets)
+        self.budgets = budgets = self._split_budgets(1)
+        connect_timeout = config.setting("allowed.connect_timeout")
         self.pools = BackendPools(
             self.clock,
             self.counters,
-            within.backends,
-            within.answers,
+            budgets.backends,
+            budgets.answers,
             config.longest,
-            connect_within,
+            connect_timeout,
             config.setting("allowed.conn_idle"),
         )
-        categories = config.numbers("categories")
-        self.catalogue = Catalogue(config.text("zones"), config.text("kinds"))
+        categories = config.indices_by_name("categories")
+        self.catalogue = Catalogue(config.text_list("zones"), config.text_list("kinds"))
         self.router = Router(
             Balancer(config.seed, settings, self.clock.now()),
             self.clock,
             self.counters,
             self.pools,
             categories,
-            config.numbers("projects"),
-            config.waits(),
+            config.indices_by_name("projects"),
+            config.default_timeouts(),
             config.setting("allowed.max_open"),
-            probe_timeout=connect_within // 4,
+            probe_timeout=connect_timeout // 4,
             request_reports=config.setting("feedback.via") != "silent",
-            subscribe=self._subscribe,
+            subscribe=self._start_discovery_watch,
         )
         self.siblings.attach(self.router)
-        self.known = self._known()
+        self.known_catalogue = self._parse_known_catalogue()
         self.discovery_watch = DiscoveryWatch(
             config.discovery,
             Random(config.seed + 1),
@@ -100,16 +101,16 @@
             self.catalogue,
             self.router.update_catalogue,
             self.router.discovery_lost,
-            self.known.resume_version if self.known else None,
+            self.known_catalogue.resume_version if self.known_catalogue else None,
         )
-        self.listener = self._listener(within)
+        self.listener = self._open_listener(budgets)
         self.pools.crowded = lambda: self.listener.crowded
         self.stopping = Event()
-        self.called = Event()  # to reload
-        self.peers = self._peers()
-        self.admin_server = self._admin_server()
+        self.reload_requested = Event()
+        self.peers = self._create_peers()
+        self.admin_server = self._open_admin_server()
 
-    def _within(self, processes: int) -> ResourceBudgets:
+    def _split_budgets(self, processes: int) -> ResourceBudgets:
         config = self.config
         return split_resources(
             config.sockets // processes,
@@ -118,46 +119,46 @@
             config.membership is not None,
         )
 
-    def _share(self, processes: int) -> None:
-        """So many processes are this agent from here on, and divide what it may hold."""
-        self.within.resize_to(self._within(processes))
+    def _resize_budgets(self, processes: int) -> None:
+        """Share the agent's limits among this many processes from now on."""
+        self.budgets.resize_to(self._split_budgets(processes))
         self.pools.trim()
 
-    def _listener(self, within: ResourceBudgets) -> Listener:
-        for _ in range(int(BIND_WITHIN / 0.1) + 1):
+    def _open_listener(self, budgets: ResourceBudgets) -> Listener:
+        for _ in range(int(BIND_TIMEOUT_S / 0.1) + 1):
             try:
                 return Listener(
                     self.config.listen,
                     self.clock,
                     self.counters,
-                    within.clients,
-                    within.requests,
+                    budgets.clients,
+                    budgets.requests,
                     self.router.submit,
                     self.router.client_left,
                     self.router.answer_overdue,
                     self.config.longest,
                 )
-            except OSError as fault:
-                why = fault.strerror
+            except OSError as error:
+                reason = error.strerror
                 gevent.sleep(0.1)
-        raise ConfigError(f"listen: {format_address(self.config.listen)}: {why}")
+        raise ConfigError(f"listen: {format_address(self.config.listen)}: {reason}")
 
-    def _admin_server(self) -> AdminServer | None:
+    def _open_admin_server(self) -> AdminServer | None:
         if self.config.admin is None:
             return None
-        orders = AdminOrders(
+        handler = AdminCommandHandler(
             self.router, self.listener, self.siblings, self.peers, stopping=self.stopping.is_set
         )
         try:
-            return AdminServer(self.config.admin, self.counters, orders.carry_out)
-        except OSError as fault:
-            raise ConfigError(f"admin_addr: {format_address(self.config.admin)}: {fault.strerror}") from None
+            return AdminServer(self.config.admin, self.counters, handler.execute)
+        except OSError as error:
+            raise ConfigError(f"admin_addr: {format_address(self.config.admin)}: {error.strerror}") from None
 
-    def _peers(self) -> Peers | None:
+    def _create_peers(self) -> Peers | None:
         config = self.config
         if config.membership is None:
             return None
-        # Loaded only where agents may talk: the others pay nothing for it.
+        # Imported only where membership is configured; other agents save the memory and the time.
         from nettledeal.peers import Peers
 
         return Peers(
@@ -168,27 +169,27 @@
             self.clock,
             self.counters,
             self.router,
-            self.siblings.heard_of,
+            self.siblings.apply_peer_order,
         )
 
-    def _subscribe(self) -> None:
+    def _start_discovery_watch(self) -> None:
         self.discovery_watch.start()
 
-    def _known(self) -> CatalogueUpdate | None:
+    def _parse_known_catalogue(self) -> CatalogueUpdate | None:
         try:
             return self.catalogue.parse(self.config.known) if self.config.known else None
-        except MalformedCatalogue as fault:
-            # The list itself comes in a moment.
-            log.warning("known list garbled", why=str(fault))
+        except MalformedCatalogue as error:
+            # Not fatal: the discovery watch soon delivers the current list.
+            log.warning("known list garbled", why=str(error))
             return None
 
     def run(self) -> None:
         self.clock.track_loop()
-        self.router.start(self.known)
-        self.known = None
+        self.router.start(self.known_catalogue)
+        self.known_catalogue = None
         gevent.spawn(self.router.run)
-        # What another process was told to leave out is left out from the first work item on.
-        self.siblings.meet()
+        # Backends that were cordoned in another process must be cordoned here before the first request.
+        self.siblings.sync()
         if self.config.setting("discovery") == "pushed":
             self.discovery_watch.start()
         gevent.spawn(self.listener.run)
@@ -197,97 +198,99 @@
             gevent.spawn(self.admin_server.run)
         if self.peers is not None:
             self.peers.start()
-        gevent.spawn(self._tell)
-        gevent.spawn(self._reloads)
+        gevent.spawn(self._log_counters_loop)
+        gevent.spawn(self._reload_loop)
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(number, self.stopping.set)
-        gevent.signal_handler(signal.SIGHUP, self.called.set)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, ORDERS)
-        # What lives from here on is not looked at again: a full collection would hold up all answers.
+        gevent.signal_handler(signal.SIGHUP, self.reload_requested.set)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
+        # Exclude all objects of the start from later collections: a full one would delay all answers.
         gc.collect()
         gc.freeze()
         log.info("started", agent=self.config.name)
         self.stopping.wait()
         self._stop()
-        # Nobody is left to follow another order; the end must not turn into a death by it.
-        signal.pthread_sigmask(signal.SIG_BLOCK, ORDERS)
+        # The handlers no longer run; a signal from now on must not kill the process before it exits with 0.
+        signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
     def _stop(self) -> None:
-        """Clients come for a while yet, and what has been taken is answered before the end."""
-        self.siblings.meet()
-        heir = self.siblings.handover.heir
-        log.info("stopping", open=len(self.router.open_requests), heir=heir)
-        self.siblings.handover.me.state = LEAVING
+        """Stop accepting clients after a while, and answer all accepted requests before returning."""
+        self.siblings.sync()
+        has_successor = self.siblings.handover.has_successor
+        log.info("stopping", open=len(self.router.open_requests), heir=has_successor)
+        self.siblings.handover.own_record.state = LEAVING
         if self.peers is not None:
-            self.peers.stop(heir)
-        end = self.clock.now() + int(
-            max(self.router.admission.default_timeouts.values(), default=SECOND) + LINGER * SECOND
+            self.peers.stop(has_successor)
+        deadline = self.clock.now() + int(
+            max(self.router.admission.default_timeouts.values(), default=SECOND) + DRAIN_ACCEPT_S * SECOND
         )
-        if heir:
-            self._give_way(end)
+        if has_successor:
+            self._drain_to_successor(deadline)
         else:
-            # Connections that rest end now: their clients come anew while the listener still stands.
+            # Close idle connections now, so that their clients reconnect while the listener is still open.
             self.listener.draining = True
             self.listener.close_idle()
-            gevent.sleep(LINGER)
-            # Nobody new from here on, or those who still come would put off the end for ever.
+            gevent.sleep(DRAIN_ACCEPT_S)
+            # Accept no more, or clients that keep coming would delay the shutdown forever.
             self.listener.close()
-        while self.router.busy or self.listener.connections and self.clock.now() < end:
+        while self.router.busy or self.listener.connections and self.clock.now() < deadline:
             if self.router.busy:
-                # A client may wait longer than its category does; its answer has yet to be written, too.
-                end = max(end, self.clock.now() + SECOND // 20)
-            # Each ends by itself, once it has looked whether something has come: what the end of the process
-            # cuts off is lost.
-            self.listener.close_idle(int(LAST_CALL * SECOND))
+                # A client's own timeout may exceed its category's; allow time to write the answer, too.
+                deadline = max(deadline, self.clock.now() + SECOND // 20)
+            # Let each connection close itself after checking for a request that has just arrived: one that is
+            # cut off by the exit of the process is lost.
+            self.listener.close_idle(int(IDLE_BEFORE_CLOSE_S * SECOND))
             gevent.sleep(0.01)
         if self.admin_server is not None:
             self.admin_server.close()
-        self.siblings.clear()
+        self.siblings.remove_record()
         log.info("stopped", **self.counters)
 
-    def _give_way(self, end: int) -> None:
-        """To a successor that serves: connections end with their next answer, and those that rest late, as
-        each that is ended just when its client asks costs a request its way."""
-        self.listener.hand_over(self.siblings.handover.processes - 1)
-        while self.listener.connections and self.clock.now() < end - RESTING * SECOND:
+    def _drain_to_successor(self, deadline: int) -> None:
+        """Move the clients to a successor that serves.
+
+        Connections close after their next answer. Idle ones are closed as late as possible: each that is
+        closed just as its client sends a request makes the client send it again."""
+        self.listener.hand_over(self.siblings.handover.process_count - 1)
+        while self.listener.connections and self.clock.now() < deadline - IDLE_CLOSE_LEAD_S * SECOND:
             gevent.sleep(0.02)
         self.listener.close_idle()
 
-    def _reloads(self) -> None:
-        """Orders that come while one is followed add up to one more: the file is read as it then is."""
+    def _reload_loop(self) -> None:
+        """Reload on SIGHUP. Signals that arrive during a reload together cause one more."""
         while True:
-            self.called.wait()
-            self.called.clear()
+            self.reload_requested.wait()
+            self.reload_requested.clear()
             try:
                 self._reload()
-            except ConfigError as fault:
-                log.error("reload refused, the old configuration stays in force", why=str(fault))
+            except ConfigError as error:
+                log.error("reload refused, the old configuration stays in force", why=str(error))
             except Exception:
                 self.counters.record_exception("reload")
 
     def _reload(self) -> None:
-        """The whole file is checked before anything is touched."""
-        new = configuration.read(os.environ)
+        """Apply the configuration file as it is now; the whole file is checked before anything changes."""
+        new = configuration.read_configuration(os.environ)
         check_replacement(self.config, new)
         overlay = self.peers.overlay() if self.peers is not None else {}
-        self.config = put_in_force(self.config, new, self.router, self.discovery_watch, overlay)
+        self.config = apply_reload(self.config, new, self.router, self.discovery_watch, overlay)
 
-    def _tell(self) -> None:
-        said: dict[str, int] = {}
+    def _log_counters_loop(self) -> None:
+        last_logged: dict[str, int] = {}
         while True:
             gevent.sleep(10.0)
-            if self.counters != said:
-                said = dict(self.counters)
-                log.info("counted", **said)
+            if self.counters != last_logged:
+                last_logged = dict(self.counters)
+                log.info("counted", **last_logged)
 
 
 def main() -> int:
     try:
-        config = configuration.read(os.environ)
+        config = configuration.read_configuration(os.environ)
         configure_log(config.log_level)
         agent = Agent(config)
-    except ConfigError as fault:
-        print(f"nettledeal: {fault}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"nettledeal: {error}", file=sys.stderr)
         return 2
     agent.run()
     return 0
--- a/src/nettledeal/cli.py
+++ b/src/nettledeal/cli.py
@@ -1,7 +1,7 @@
-"""The command line. Each subcommand loads what it needs when it is called, so that none pays for another.
+"""The command line. Each subcommand imports what it needs when it is called, to keep the others fast.
 
-Exit status: 0 done, 1 done and found wanting (a rule broken, a run cut off), 2 not begun: a fault in what
-was asked, on one line that names the file and the key.
+Exit status: 0 success, 1 the command ran but failed (a rule broken, a run interrupted), 2 the command did not
+start because its input is invalid; one line on standard error names the file and the key.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from nettledeal.configuration_files import ConfigError
 
 
-class Refusal(click.ClickException):
-    """What was asked cannot be begun; one line on standard error, exit status 2."""
+class InvalidInput(click.ClickException):
+    """The command can't start: one line on standard error, exit status 2."""
 
     exit_code = 2
 
@@ -24,8 +24,8 @@
         click.echo(f"nettledeal: {self.format_message()}", err=True)
 
 
-def _refused(file: Path | None, fault: Exception) -> Refusal:
-    return Refusal(f"{file}: {fault}" if file else str(fault))
+def _invalid_input(file: Path | None, error: Exception) -> InvalidInput:
+    return InvalidInput(f"{file}: {error}" if file else str(error))
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]}, no_args_is_help=True)
@@ -33,10 +33,10 @@
     """nettledeal, a client-side load balancer.
 
     \b
-    nettledeal agent agent.json             one agent beside its caller
-    nettledeal check agent.json             is the file sound?
-    nettledeal fleet run first.toml         agents, stand-ins and clients at work, and what came of it
-    nettledeal members 127.0.0.1:7071       whom an agent takes for alive
+    nettledeal agent agent.json             run one agent
+    nettledeal check agent.json             check a file
+    nettledeal fleet run first.toml         run an experiment with agents, stand-ins and clients
+    nettledeal members 127.0.0.1:7071       list the members an agent knows
     """
 
 
@@ -57,7 +57,7 @@
 
 @cli.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="Say it as one JSON object, for machines.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as one JSON object.")
 def check(file: Path, as_json: bool) -> int:
     """Check an agent's configuration (JSON) or an experiment (TOML) without starting anything.
 
@@ -73,14 +73,14 @@
 
             experiment.read(file)
         else:
-            configuration.read(os.environ | {"EDGE_CONFIG": str(file)})
-    except ConfigError as fault:
+            configuration.read_configuration(os.environ | {"EDGE_CONFIG": str(file)})
+    except ConfigError as error:
         if not as_json:
-            raise _refused(file, fault) from None
-        _say({"file": str(file), "sound": False, "fault": str(fault)})
+            raise _invalid_input(file, error) from None
+        _print_json({"file": str(file), "sound": False, "fault": str(error)})
         return 2
     if as_json:
-        _say({"file": str(file), "sound": True})
+        _print_json({"file": str(file), "sound": True})
     else:
         click.echo(f"{file}: sound")
     return 0
@@ -88,25 +88,27 @@
 
 @cli.command()
 @click.argument("address")
-@click.option("--json", "as_json", is_flag=True, help="Print what the agent says as one JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print the agent's answer as one JSON object.")
 def members(address: str, as_json: bool) -> int:
-    """Whom the agent with its admin port at ADDRESS takes for alive, suspect, dead or gone.
+    """List the members known to the agent whose admin port is at ADDRESS, with their states.
 
     \b
     nettledeal members 127.0.0.1:7071
     """
     import msgspec
 
-    answer = _told_at_door(address, "members")
+    answer = _send_admin_command(address, "members")
     if as_json:
         click.echo(answer)
         return 0
-    found = msgspec.json.decode(answer)
-    sure = "" if found["sure"] else ", not sure: the old count holds"
-    click.echo(f"{found['name']} of {found['cluster']}: counts {found['counted']} agents{sure}")
-    for one in found["members"]:
-        by = f", says {one['by']}" if one["by"] else ""
-        click.echo(f"{one['name']:<24} {one['state']:<8} {one['at']:<22} for {one['for_s']:.1f} s{by}")
+    view = msgspec.json.decode(answer)
+    sure = "" if view["sure"] else ", not sure: the old count holds"
+    click.echo(f"{view['name']} of {view['cluster']}: counts {view['counted']} agents{sure}")
+    for member in view["members"]:
+        reporter = f", says {member['by']}" if member["by"] else ""
+        click.echo(
+            f"{member['name']:<24} {member['state']:<8} {member['at']:<22} for {member['for_s']:.1f} s{reporter}"
+        )
     return 0
 
 
@@ -114,18 +116,19 @@
 @click.argument("address")
 @click.argument("name")
 def forget(address: str, name: str) -> int:
-    """Count a dead member NAME as one that has left; told to the agent with its admin port at ADDRESS, and by
-    it to all.
+    """Treat the dead member NAME as one that has left, on all agents.
+
+    The command goes to the agent whose admin port is at ADDRESS; that agent tells the others.
 
     \b
     nettledeal forget 127.0.0.1:7071 agent-17
     """
-    click.echo(_told_at_door(address, f"forget {name}"))
+    click.echo(_send_admin_command(address, f"forget {name}"))
     return 0
 
 
-def _told_at_door(address: str, line: str) -> str:
-    """What an agent answers to a line at its admin port, without the word that it was done."""
+def _send_admin_command(address: str, line: str) -> str:
+    """Send a command line to an agent's admin port; its answer without the leading `+OK`."""
     import socket
 
     from nettledeal.net.address import parse_address
@@ -134,28 +137,32 @@
         with socket.create_connection(parse_address(address), timeout=5.0) as sock:
             sock.sendall(line.encode() + b"\n")
             sock.shutdown(socket.SHUT_WR)
-            said = b"".join(iter(lambda: sock.recv(65536), b"")).decode(errors="replace")
-    except (OSError, ValueError) as fault:
-        raise Refusal(f"{address}: {fault}") from None
-    word, _, rest = said.strip().partition(" ")
-    if word != "+OK":
-        raise Refusal(f"{address}: {rest or 'no answer'}")
-    return rest
+            answer = b"".join(iter(lambda: sock.recv(65536), b"")).decode(errors="replace")
+    except (OSError, ValueError) as error:
+        raise InvalidInput(f"{address}: {error}") from None
+    status, _, text = answer.strip().partition(" ")
+    if status != "+OK":
+        raise InvalidInput(f"{address}: {text or 'no answer'}")
+    return text
 
 
 @cli.group()
 def fleet() -> None:
-    """Many agents as real processes, stand-ins for all that they meet, and faults between them."""
+    """Experiments with many agents as real processes, stand-ins for their environment and injected faults."""
 
 
 @fleet.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--out", type=click.Path(path_type=Path), help="Folder to keep the result in.")
-@click.option("--beside", multiple=True, metavar="NAME=TREE", help="Play another version too, from its tree.")
-@click.option("--policies", help="Of the file's policies only these, by commas.")
-@click.option("--agents", type=click.IntRange(1), help="Another number of agents than the file says.")
-@click.option("--seed", type=int, help="Another seed than the file says.")
-@click.option("--runs", type=click.IntRange(1, 100), default=1, help="So many seeds, from that one on.")
+@click.option("--out", type=click.Path(path_type=Path), help="Folder for the results.")
+@click.option(
+    "--beside", multiple=True, metavar="NAME=TREE", help="Also run another version, from its source tree."
+)
+@click.option("--policies", help="Run only these of the file's policies, separated by commas.")
+@click.option("--agents", type=click.IntRange(1), help="Number of agents, instead of the file's.")
+@click.option("--seed", type=int, help="Seed, instead of the file's.")
+@click.option(
+    "--runs", type=click.IntRange(1, 100), default=1, help="Number of runs, with consecutive seeds."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print the result as one JSON object.")
 def run(
     file: Path,
@@ -167,7 +174,7 @@
     runs: int,
     as_json: bool,
 ) -> int:
-    """Play the experiment FILE and say what came of it; exit status 1 where a rule was broken.
+    """Run the experiment FILE and print its results; exit status 1 if a rule was broken.
 
     \b
     nettledeal fleet run experiments/first.toml
@@ -176,30 +183,32 @@
     from nettledeal.fleet import experiment, play
 
     try:
-        asked = experiment.read(file, agents=agents, seed=seed, policies=policies, beside=beside)
-    except ConfigError as fault:
-        raise _refused(file, fault) from None
+        loaded = experiment.read(file, agents=agents, seed=seed, policies=policies, beside=beside)
+    except ConfigError as error:
+        raise _invalid_input(file, error) from None
     try:
-        return play.play(asked, out, as_json, runs)
-    except ConfigError as fault:
-        raise _refused(None, fault) from None
+        return play.play(loaded, out, as_json, runs)
+    except ConfigError as error:
+        raise _invalid_input(None, error) from None
 
 
 @fleet.command()
 @click.option("--members", "count", type=click.IntRange(4, 1000), default=20, show_default=True)
-@click.option("--loss", type=click.FloatRange(0, 0.9), default=0.2, show_default=True, help="Of datagrams.")
+@click.option(
+    "--loss", type=click.FloatRange(0, 0.9), default=0.2, show_default=True, help="Share of datagrams lost."
+)
 @click.option(
     "--pause",
     type=click.FloatRange(0, 60),
     default=5.0,
     show_default=True,
-    help="Seconds for which a third after another is stopped; 0 none.",
+    help="Seconds for which each third of the members is stopped in turn; 0 for none.",
 )
 @click.option("--minutes", type=click.FloatRange(0, 120), default=1.0, show_default=True)
 @click.option("--deaths", type=click.IntRange(0, 50), default=3, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print the figures as one JSON object.")
 def talk(count: int, loss: float, pause: float, minutes: float, deaths: int, as_json: bool) -> int:
-    """Membership with real processes: what it costs, whom it wrongs, how soon it knows.
+    """Measure membership with real processes: its cost, false reports and time to detect a death.
 
     \b
     nettledeal fleet talk --members 200 --loss 0.2 --pause 5 --minutes 10
@@ -208,51 +217,52 @@
     from nettledeal.fleet.processes import Broken
 
     try:
-        found = membership_trial.measure(
+        figures = membership_trial.measure(
             count,
             loss=loss,
             pause=pause,
             minutes=minutes,
             deaths=deaths,
-            progress=lambda what: click.echo(what, err=True),
+            progress=lambda text: click.echo(text, err=True),
         )
-    except Broken as fault:
-        click.echo(f"nettledeal: {fault}; all that was started has ended", err=True)
+    except Broken as error:
+        click.echo(f"nettledeal: {error}; all that was started has ended", err=True)
         return 1
     if as_json:
-        _say(found)
+        _print_json(figures)
         return 0
-    for name, value in found.items():
+    for name, value in figures.items():
         click.echo(f"{name:<28} {value:.4g}" if isinstance(value, float) else f"{name:<28} {value}")
     return 0
 
 
 @fleet.command()
-@click.option("--count", type=click.IntRange(1), default=1000, show_default=True, help="So many schedules,")
-@click.option("--first", type=click.IntRange(0), default=0, show_default=True, help="from that seed on.")
+@click.option("--count", type=click.IntRange(1), default=1000, show_default=True, help="Number of schedules.")
+@click.option("--first", type=click.IntRange(0), default=0, show_default=True, help="Seed of the first one.")
 def rehearse(count: int, first: int) -> int:
-    """Membership in virtual time under seeded schedules of faults; exit status 1 where a promise did not
-    hold.
+    """Simulate membership in virtual time under seeded fault schedules.
+
+    Exit status 1 if an invariant did not hold.
 
     \b
     nettledeal fleet rehearse --count 20000
     """
     from nettledeal_simulations.membership import many
-    from nettledeal_simulations.membership import rehearse as play
+    from nettledeal_simulations.membership import rehearse as run_schedule
 
-    broken = 0
-    for seed, found in many(play, range(first, first + count)):
-        broken += 1
-        click.echo(f"seed {seed}: {'; '.join(found[:3])}")
-    click.echo(f"{count} schedules from seed {first} on, {broken} broke a promise")
-    return 1 if broken else 0
+    failures = 0
+    for seed, violations in many(run_schedule, range(first, first + count)):
+        failures += 1
+        click.echo(f"seed {seed}: {'; '.join(violations[:3])}")
+    click.echo(f"{count} schedules from seed {first} on, {failures} broke an invariant")
+    return 1 if failures else 0
 
 
 @fleet.command()
 @click.argument("folder", type=click.Path(path_type=Path))
-@click.option("--to", type=click.Path(path_type=Path), help="Another folder for the pictures.")
+@click.option("--to", type=click.Path(path_type=Path), help="Folder for the plots, if another one.")
 def plot(folder: Path, to: Path | None) -> int:
-    """Draw what `fleet run --out FOLDER` has kept: answer times, and work by second with faults marked.
+    """Plot the results of `fleet run --out FOLDER`: response times, and load per second with faults marked.
 
     \b
     nettledeal fleet plot results/calm
@@ -260,17 +270,17 @@
     from nettledeal.fleet import plots
 
     try:
-        for place in plots.draw(folder, to or folder):
-            click.echo(str(place))
-    except ConfigError as fault:
-        raise _refused(None, fault) from None
+        for path in plots.draw(folder, to or folder):
+            click.echo(str(path))
+    except ConfigError as error:
+        raise _invalid_input(None, error) from None
     return 0
 
 
-def _say(found: dict) -> None:
+def _print_json(content: dict) -> None:
     import msgspec
 
-    click.echo(msgspec.json.encode(found).decode())
+    click.echo(msgspec.json.encode(content).decode())
 
 
 def main() -> int:
@@ -280,11 +290,11 @@
     except click.exceptions.Abort:
         click.echo("nettledeal: interrupted", err=True)
         return 1
-    except Refusal as fault:
-        fault.show()
-        return fault.exit_code
-    except click.ClickException as fault:
-        click.echo(f"nettledeal: {fault.format_message()} (--help tells more)", err=True)
+    except InvalidInput as error:
+        error.show()
+        return error.exit_code
+    except click.ClickException as error:
+        click.echo(f"nettledeal: {error.format_message()} (see --help)", err=True)
         return 2
 
 
--- a/src/nettledeal/configuration.py
+++ b/src/nettledeal/configuration.py
@@ -1,7 +1,7 @@
-"""An agent's configuration: read, checked and given defaults.
+"""Reads and validates an agent's configuration, and fills in defaults.
 
-An agent is told where its file is by `EDGE_CONFIG`; `EDGE_NAME`, `EDGE_LISTEN` and `EDGE_DISCOVERY`
-stand in for what the file leaves out. Every fault names the key at fault.
+`EDGE_CONFIG` is the path of the file; `EDGE_NAME`, `EDGE_LISTEN`, `EDGE_DISCOVERY` and `EDGE_ADMIN_ADDR` are
+used for what the file leaves out. Every error names the key at fault.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from nettledeal.configuration_files import ConfigError, address, decoded
-from nettledeal.deployment_settings import settings
+from nettledeal.configuration_files import ConfigError, decode_config, parse_address_key
+from nettledeal.deployment_settings import flatten_settings
 from nettledeal.membership_settings import MembershipSection, MembershipSettings, membership_settings
 from nettledeal.net.address import Address
 from nettledeal.net.clock import SECOND
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """What an agent has been told at its start."""
+    """The validated configuration of an agent."""
 
     name: str
     listen: Address
@@ -51,38 +51,38 @@
     seed: int
     memory_mb: int
     sockets: int
-    longest: int  # body of any message, in bytes
+    longest: int  # the largest body of any message, in bytes
     known: dict[str, Any]
-    settings: Mapping[str, Any]  # flat, in the project's words and units
+    settings: Mapping[str, Any]  # flat, by dotted names, with the internal names of effects and units
     log_level: str
-    keys: Mapping[str, Any]  # the file as it was, nested
+    keys: Mapping[str, Any]  # the content of the file, nested
     membership: MembershipSettings | None = None
 
     def setting(self, name: str) -> Any:
-        """One that the agent itself goes by, not the module."""
+        """A setting used by the agent itself rather than by the policy module."""
         return self.settings.get(name, _DEFAULTS[name])
 
-    def waits(self) -> dict[str, int]:
-        """How long clients wait where they don't say, by category."""
-        numbers = self.numbers("categories").items()
-        return {name: self.settings.get(f"categories.{n}.expiry", SECOND) for name, n in numbers}
+    def default_timeouts(self) -> dict[str, int]:
+        """The timeout of requests that state none, by category."""
+        indices = self.indices_by_name("categories").items()
+        return {name: self.settings.get(f"categories.{n}.expiry", SECOND) for name, n in indices}
 
-    def group(self, name: str) -> dict[str, Any]:
-        """One of the settings with all below it."""
-        inner = name + "."
-        return {key: self.settings[key] for key in self.settings if key == name or key.startswith(inner)}
+    def subtree(self, name: str) -> dict[str, Any]:
+        """The setting of this name and all settings below it."""
+        prefix = name + "."
+        return {key: self.settings[key] for key in self.settings if key == name or key.startswith(prefix)}
 
-    def text(self, name: str) -> list[str]:
-        """A list among the settings, by its names."""
+    def text_list(self, name: str) -> list[str]:
+        """A setting that is a list of texts."""
         return [part for part in str(self.settings.get(name, "")).split(",") if part]
 
-    def numbers(self, group: str) -> dict[str, int]:
-        """The numbers of a group among the settings, by the names that requests call them."""
+    def indices_by_name(self, group: str) -> dict[str, int]:
+        """The indices of a group's entries, such as categories, by the names that requests use."""
         count = self.settings.get(f"{group}.count", 0)
         return {str(self.settings.get(f"{group}.{n}.name", n)): n for n in range(count)}
 
 
-# Where the settings are silent. The module has defaults of its own, for what it alone goes by.
+# Defaults of the settings that the agent itself uses. The policy module has its own defaults for the others.
 _DEFAULTS = {
     "allowed.connect_timeout": SECOND,
     "allowed.conn_idle": 10 * SECOND,
@@ -90,52 +90,52 @@
     "discovery": "pushed",
     "feedback.via": "silent",
 }
-_LEVELS = ("debug", "info", "warning", "error")
+_LOG_LEVELS = ("debug", "info", "warning", "error")
 
 
-def read(environment: Mapping[str, str]) -> Configuration:
-    place = environment.get("EDGE_CONFIG", "")
-    if not place:
+def read_configuration(environment: Mapping[str, str]) -> Configuration:
+    path = environment.get("EDGE_CONFIG", "")
+    if not path:
         raise ConfigError("EDGE_CONFIG: not set; it names the configuration file")
     try:
-        raw = Path(place).read_bytes()
-    except OSError as fault:
-        raise ConfigError(f"EDGE_CONFIG: {place} cannot be read: {fault.strerror}") from None
-    return check(raw, environment)
-
-
-def check(raw: bytes, environment: Mapping[str, str]) -> Configuration:
-    file = decoded(raw, _File)
-    for key, least in (("memory_mb", 24), ("sockets", 32), ("longest_mb", 1)):
-        if getattr(file.limits, key) < least:
-            found = getattr(file.limits, key)
-            raise ConfigError(f"limits.{key}: {found} is too little, {least} is the least")
-    if file.log_level not in _LEVELS:
-        raise ConfigError(f"log_level: {file.log_level!r} is none of {', '.join(_LEVELS)}")
+        raw = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigError(f"EDGE_CONFIG: {path} cannot be read: {error.strerror}") from None
+    return parse_configuration(raw, environment)
+
+
+def parse_configuration(raw: bytes, environment: Mapping[str, str]) -> Configuration:
+    file = decode_config(raw, _File)
+    for key, minimum in (("memory_mb", 24), ("sockets", 32), ("longest_mb", 1)):
+        if getattr(file.limits, key) < minimum:
+            value = getattr(file.limits, key)
+            raise ConfigError(f"limits.{key}: {value} is less than the minimum of {minimum}")
+    if file.log_level not in _LOG_LEVELS:
+        raise ConfigError(f"log_level: {file.log_level!r} is not one of {', '.join(_LOG_LEVELS)}")
     try:
         seed = int(file.seed, 16)
     except ValueError:
-        raise ConfigError(f"seed: {file.seed!r} is no hexadecimal number") from None
+        raise ConfigError(f"seed: {file.seed!r} is not a hexadecimal number") from None
     section = file.membership
     admin = file.admin_addr or environment.get("EDGE_ADMIN_ADDR", "")
     return Configuration(
         name=file.name or environment.get("EDGE_NAME", "agent"),
-        listen=address("listen", file.listen or environment.get("EDGE_LISTEN", "")),
-        discovery=address("discovery", file.discovery or environment.get("EDGE_DISCOVERY", "")),
-        admin=address("admin_addr", admin) if admin else None,
+        listen=parse_address_key("listen", file.listen or environment.get("EDGE_LISTEN", "")),
+        discovery=parse_address_key("discovery", file.discovery or environment.get("EDGE_DISCOVERY", "")),
+        admin=parse_address_key("admin_addr", admin) if admin else None,
         seed=seed,
         memory_mb=file.limits.memory_mb,
         sockets=file.limits.sockets,
         longest=file.limits.longest_mb * 1_000_000,
         known=file.known,
-        settings=settings(file.settings),
+        settings=flatten_settings(file.settings),
         log_level=file.log_level,
-        keys=_keys(raw),
+        keys=_decode_keys(raw),
         membership=None if section is None else membership_settings(file.name, section),
     )
 
 
-def _keys(raw: bytes) -> dict[str, Any]:
+def _decode_keys(raw: bytes) -> dict[str, Any]:
     keys = msgspec.json.decode(raw, type=dict[str, Any])
-    # The list as it once was, which may be long: that there is one is enough.
+    # The known instances may be many; for comparing two files it is enough that the key is present.
     return keys | {"known": {}} if "known" in keys else keys
--- a/src/nettledeal/configuration_change.py
+++ b/src/nettledeal/configuration_change.py
@@ -1,4 +1,4 @@
-"""Whether a new configuration may take the place of the one in force."""
+"""Checks whether a new configuration may replace the one in force."""
 
 from __future__ import annotations
 
@@ -9,41 +9,46 @@
 from nettledeal.configuration_files import ConfigError
 from nettledeal.net.clock import SECOND
 
-# A day, and more attempts than anybody wants: beyond that a number is a slip.
-_LONGEST = 24 * 3600 * SECOND
-_MOST = 1000
+# A day, and more attempts than anyone wants: a larger value is taken for a mistake.
+_MAX_DURATION_TENTHS = 24 * 3600 * SECOND
+_MAX_ATTEMPTS = 1000
 
 
 def check_replacement(old: Configuration, new: Configuration) -> None:
-    """Whether a new file may take the place of the one in force: a key that went missing or a deadline of
-    nothing is a slip, and half of a file may well be JSON."""
-    _has_all(old.keys, new.keys, "")
+    """Raise ConfigError if `new` lacks a key that `old` has, or has a value out of range.
+
+    Both are taken for mistakes: a key left out, a timeout of 0, or a truncated file that is still JSON."""
+    _check_keys(old.keys, new.keys, "")
     for n in range(new.settings.get("categories.count", 0)):
-        for last in ("expiry", "due_time"):
-            _above(f"categories.{n}.{last}", new.settings, _LONGEST)
-    _above("allowed.most_hand_offs", new.settings, _MOST)
+        for duration in ("expiry", "due_time"):
+            _check_range(f"categories.{n}.{duration}", new.settings, _MAX_DURATION_TENTHS)
+    _check_range("allowed.most_hand_offs", new.settings, _MAX_ATTEMPTS)
+
 
+def _check_keys(old: Any, new: Any, path: str) -> None:
+    """Raise ConfigError for a key of `old` that `new` lacks, or for a value of another shape.
 
-def _has_all(old: Any, new: Any, path: str) -> None:
-    """Lists of objects are told apart by name; those that are new have what all others have."""
+    Objects in lists are matched by name; a new one must have all keys that the old ones have in common."""
     if isinstance(old, dict) and isinstance(new, dict):
         for key, inner in old.items():
-            where = f"{path}.{key}" if path else key
+            inner_path = f"{path}.{key}" if path else key
             if key not in new:
-                raise ConfigError(f"{where}: missing, and the file in force has it")
-            _has_all(inner, new[key], where)
+                raise ConfigError(f"{inner_path}: missing, but the file in force has it")
+            _check_keys(inner, new[key], inner_path)
     elif isinstance(old, list) and isinstance(new, list):
-        known = {str(inner.get("name")): inner for inner in old if isinstance(inner, dict)}
-        usual = [inner.keys() for inner in known.values()]
-        shared = {key: None for key in usual[0] if all(key in keys for keys in usual)} if usual else {}
+        by_name = {str(inner.get("name")): inner for inner in old if isinstance(inner, dict)}
+        key_sets = [inner.keys() for inner in by_name.values()]
+        shared = (
+            {key: None for key in key_sets[0] if all(key in keys for keys in key_sets)} if key_sets else {}
+        )
         for n, inner in enumerate(new):
             if isinstance(inner, dict):
-                _has_all(known.get(str(inner.get("name")), shared), inner, f"{path}.{n}")
+                _check_keys(by_name.get(str(inner.get("name")), shared), inner, f"{path}.{n}")
     elif old is not None and (isinstance(new, dict | list) or isinstance(old, dict | list)):
-        raise ConfigError(f"{path}: {type(new).__name__} in place of {type(old).__name__}")
+        raise ConfigError(f"{path}: {type(new).__name__} instead of {type(old).__name__}")
 
 
-def _above(name: str, found: Mapping[str, Any], most: int) -> None:
-    value = found.get(name)
-    if value is not None and not 0 < value <= most:
-        raise ConfigError(f"settings.{name}: {value} is no number from 1 to {most}")
+def _check_range(name: str, settings: Mapping[str, Any], maximum: int) -> None:
+    value = settings.get(name)
+    if value is not None and not 0 < value <= maximum:
+        raise ConfigError(f"settings.{name}: {value} is not a number from 1 to {maximum}")
--- a/src/nettledeal/configuration_files.py
+++ b/src/nettledeal/configuration_files.py
@@ -1,4 +1,4 @@
-"""Files and values of them, read into typed ones: every fault names the key at fault, on one line."""
+"""Decodes configuration files into typed objects. Every error is one line that names the key at fault."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 class ConfigError(ValueError):
-    """What is wrong with the configuration, on one line, with the key at fault."""
+    """An error in the configuration: one line that names the key at fault."""
 
 
-def decoded(raw: bytes, kind: type[T], form: str = "JSON") -> T:
-    """Of that kind, out of JSON or TOML.
+def decode_config(raw: bytes, kind: type[T], form: str = "JSON") -> T:
+    """Decode JSON or TOML into an object of type `kind`.
 
-    Raises ConfigError naming the key that is none of its own, or has a value of another kind."""
+    Raises ConfigError that names the key that is unknown or whose value has the wrong type."""
     try:
         return (msgspec.json if form == "JSON" else msgspec.toml).decode(raw, type=kind)
-    except msgspec.ValidationError as fault:
-        what, _, where = str(fault).partition(" - at `$.")
-        raise ConfigError(f"{where.rstrip('`') or 'the file'}: {what}") from None
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise ConfigError(f"the file: no {form}: {fault}") from None
+    except msgspec.ValidationError as error:
+        problem, _, path = str(error).partition(" - at `$.")
+        raise ConfigError(f"{path.rstrip('`') or 'the file'}: {problem}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ConfigError(f"the file: not valid {form}: {error}") from None
 
 
-def address(key: str, text: str) -> Address:
-    """A host and a port out of the text. Raises ConfigError naming the key."""
+def parse_address_key(key: str, text: str) -> Address:
+    """Parse the host and port that is the value of `key`. Raises ConfigError that names the key."""
     try:
         return parse_address(text)
-    except ValueError as fault:
-        raise ConfigError(f"{key}: {fault}") from None
+    except ValueError as error:
+        raise ConfigError(f"{key}: {error}") from None
--- a/src/nettledeal/deployment_settings.py
+++ b/src/nettledeal/deployment_settings.py
@@ -1,4 +1,4 @@
-"""The deployment's settings: checked, and made flat in the project's units."""
+"""Validates the deployment's settings and flattens them, with durations in internal units."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from nettledeal import units
 from nettledeal.configuration_files import ConfigError
 
-# What a setting must be, where the agent or the module would stumble over anything else.
-_WHOLE = ("balancers", "me", "zone", "allowed.most_hand_offs", "allowed.max_open")
+# The settings whose type or range is checked, as the agent or the policy module would fail on anything else.
+_INTEGERS = ("balancers", "me", "zone", "allowed.most_hand_offs", "allowed.max_open")
 _NUMBERS = (
     "rules.overload_factor",
     "rules.cold_from",
@@ -19,9 +19,9 @@
     "tariffs.cross_zone",
     "tariffs.connection",
 )
-# The same by group and last part of the name, as these have a number between.
-_MANY = (("categories", "payoff"), ("categories", "overdue_payoff"), ("projects", "share"))
-_MODES = {
+# Numbers in lists, by group and last part of the name; the index stands between the two.
+_LIST_NUMBERS = (("categories", "payoff"), ("categories", "overdue_payoff"), ("projects", "share"))
+_CHOICES = {
     "discovery": ("pushed", "on_request"),
     "payoff_by": ("request", "work"),
     "feedback.via": ("piggyback", "pull", "silent"),
@@ -37,42 +37,46 @@
 _GROUPS = ("all", "zone", "cell")
 
 
-def settings(nested: Mapping[str, Any]) -> dict[str, Any]:
-    """By names with dots, durations in tenths of a millisecond. Raises ConfigError naming the setting."""
-    found: dict[str, Any] = {}
-    for name, value in _flat(nested, ""):
+def flatten_settings(nested: Mapping[str, Any]) -> dict[str, Any]:
+    """Settings by dotted names, with durations in tenths of a millisecond.
+
+    Raises ConfigError that names the setting at fault."""
+    flat: dict[str, Any] = {}
+    for name, value in _flatten(nested, ""):
         _check(name, value)
-        found[name] = units.convert_setting(name, value)
-    return found
+        flat[name] = units.convert_setting(name, value)
+    return flat
 
 
 def _check(name: str, value: Any) -> None:
-    whole = isinstance(value, int) and not isinstance(value, bool)
-    if (units.is_duration(name) or name in _WHOLE) and (not whole or value < 0):
-        raise ConfigError(f"settings.{name}: {value!r} is no whole number from 0 up")
+    is_integer = isinstance(value, int) and not isinstance(value, bool)
+    if (units.is_duration(name) or name in _INTEGERS) and (not is_integer or value < 0):
+        raise ConfigError(f"settings.{name}: {value!r} is not an integer of at least 0")
     last = name.rpartition(".")[2]
-    if name in _NUMBERS or (name.partition(".")[0], last) in _MANY:
-        if not (whole or isinstance(value, float)):
-            raise ConfigError(f"settings.{name}: {value!r} is no number")
+    if name in _NUMBERS or (name.partition(".")[0], last) in _LIST_NUMBERS:
+        if not (is_integer or isinstance(value, float)):
+            raise ConfigError(f"settings.{name}: {value!r} is not a number")
         if not 0 <= value < inf:
-            raise ConfigError(f"settings.{name}: {value!r} is no number from 0 up")
-    if value not in _MODES.get(name, (value,)):
-        raise ConfigError(f"settings.{name}: {value!r} is none of {', '.join(_MODES[name])}")
+            raise ConfigError(f"settings.{name}: {value!r} is not a finite number of at least 0")
+    if value not in _CHOICES.get(name, (value,)):
+        raise ConfigError(f"settings.{name}: {value!r} is not one of {', '.join(_CHOICES[name])}")
     if last == "effect" and not isinstance(value, str) or last == "group" and value not in _GROUPS:
-        raise ConfigError(f"settings.{name}: {value!r} is not known")
+        raise ConfigError(f"settings.{name}: {value!r} is not a known value")
     if name in _FLAGS and not isinstance(value, bool):
         raise ConfigError(f"settings.{name}: {value!r} is neither true nor false")
 
 
-def _flat(value: Any, path: str) -> Iterator[tuple[str, Any]]:
-    """Names with dots, a list of objects by number and with its count, a list of plain values by commas."""
+def _flatten(value: Any, path: str) -> Iterator[tuple[str, Any]]:
+    """Yield dotted names and values.
+
+    Lists of objects become a count and entries by index; other lists are joined by commas."""
     if isinstance(value, dict):
         for key, inner in value.items():
-            yield from _flat(inner, f"{path}.{key}" if path else key)
+            yield from _flatten(inner, f"{path}.{key}" if path else key)
     elif isinstance(value, list) and any(isinstance(inner, dict) for inner in value):
         yield f"{path}.count", len(value)
         for n, inner in enumerate(value):
-            yield from _flat(inner, f"{path}.{n}")
+            yield from _flatten(inner, f"{path}.{n}")
     elif isinstance(value, list):
         yield path, ",".join(map(str, value))
     elif value is not None:
--- a/src/nettledeal/fleet/experiment.py
+++ b/src/nettledeal/fleet/experiment.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from nettledeal.configuration_files import ConfigError, decoded
+from nettledeal.configuration_files import ConfigError, decode_config
 
 SECOND = 10_000  # in tenths of a millisecond
 BASELINES = ("random", "two-choices", "two-choices-true", "shortest-true")
@@ -147,7 +147,7 @@
         raw = file.read_bytes()
     except OSError as fault:
         raise ConfigError(f"cannot be read: {fault.strerror}") from None
-    found = decoded(raw, Experiment, "TOML")
+    found = decode_config(raw, Experiment, "TOML")
     if agents is not None:
         found = msgspec.structs.replace(found, agents=msgspec.structs.replace(found.agents, count=agents))
     if seed is not None:
--- a/src/nettledeal/handover.py
+++ b/src/nettledeal/handover.py
@@ -1,6 +1,6 @@
-"""What several processes of one agent are to each other: a state machine, fed with their records.
+"""Handover between several processes of one agent: a state machine that is fed their records.
 
-Nothing is read or written here. Who lives is told by whoever reads the records.
+It does no I/O. The caller reads the records and decides which processes are alive.
 """
 
 from __future__ import annotations
@@ -12,29 +12,30 @@
 
 VERSION = 1
 STARTING, SERVING, LEAVING = "starting", "serving", "leaving"
-# Orders remembered that ask for nothing any more.
-_KEPT = 64
+# How many `uncordon` orders are remembered; older ones are dropped.
+_MAX_UNCORDON_ORDERS = 64
 
 
 class Envelope(msgspec.Struct):
-    """What records of all versions hold."""
+    """The fields that records of all versions have."""
 
     version: int
     id: str
     agent: str
     listen: str
     state: str
-    born: int  # by a clock that all processes of the machine share
+    born: int  # start time in ns, by the monotonic clock that all processes of the machine share
 
 
+# The state that a process shows to the other processes of its agent.
 class Record(Envelope):
-    orders: dict[str, tuple[int, bool]] = {}  # by backend: when it was ordered, and whether out of service
-    heard: dict[str, int] = {}  # by process: the last of its orders in force here
+    orders: dict[str, tuple[int, bool]] = {}  # by backend: time of the last order, and whether it is a cordon
+    heard: dict[str, int] = {}  # by process: time of the last of its orders that is in force here
     learned: dict[str, Any] | None = None
 
 
-def read(raw: bytes) -> Record | None:
-    """None for what is no record, or not whole; of a newer version only what all versions hold."""
+def parse_record(raw: bytes) -> Record | None:
+    """Parse a record; None if it is invalid or truncated. Of a newer version only the envelope is read."""
     try:
         envelope = msgspec.json.decode(raw, type=Envelope)
         if envelope.version <= VERSION:
@@ -45,66 +46,88 @@
 
 
 class Handover:
-    """One process's view of those that are one agent with it."""
+    """One process's view of the other processes of its agent."""
 
     def __init__(self, id: str, agent: str, listen: str, born: int):
-        self.me = Record(VERSION, id, agent, listen, STARTING, born, {}, {})
+        self.own_record = Record(VERSION, id, agent, listen, STARTING, born, {}, {})
         self.others: list[Record] = []
 
-    def told(self, live: Iterable[Record]) -> dict[str, bool]:
-        """Records of live processes as they are now; the orders among them that are to be carried out here,
-        by backend, and whether each takes it out of service."""
-        me = self.me
+    def merge_records(self, live: Iterable[Record]) -> dict[str, bool]:
+        """Take over the current records of live processes.
+
+        Returns the orders that are new here, by backend: True to cordon it, False to uncordon it."""
+        own_record = self.own_record
         self.others = [
             other
             for other in live
-            if other.id != me.id and (other.agent, other.listen) == (me.agent, me.listen)
+            if other.id != own_record.id
+            and (other.agent, other.listen) == (own_record.agent, own_record.listen)
         ]
-        todo = {}
+        new_orders = {}
         for other in self.others:
-            for backend, (at, out) in other.orders.items():
-                if at > me.orders.get(backend, (0, False))[0]:
-                    me.orders[backend] = at, out
-                    todo[backend] = out
-        return todo
-
-    def carried_out(self) -> None:
-        """What was to be done is in force: whoever ordered it may hear so."""
-        self.me.heard = {other.id: _last(other) for other in self.others if other.orders}
-
-    def ordered(self, backend: str, out: bool, now: int) -> int:
-        """An order given here; its time, after all others of that backend."""
-        orders = self.me.orders
-        at = max(now, _last(self.me) + 1, *(1 + _last(other) for other in self.others), 1)
+            for backend, (ordered_at, cordoned) in other.orders.items():
+                if ordered_at > own_record.orders.get(backend, (0, False))[0]:
+                    own_record.orders[backend] = ordered_at, cordoned
+                    new_orders[backend] = cordoned
+        return new_orders
+
+    def acknowledge_orders(self) -> None:
+        """Record that all merged orders are in force here, for the processes that received them."""
+        self.own_record.heard = {other.id: _last_order_time(other) for other in self.others if other.orders}
+
+    def record_order(self, backend: str, cordoned: bool, now: int) -> int:
+        """Record an order received by this process.
+
+        Returns its time, which is later than that of every order known here, whatever the clocks say."""
+        orders = self.own_record.orders
+        ordered_at = max(
+            now,
+            _last_order_time(self.own_record) + 1,
+            *(1 + _last_order_time(other) for other in self.others),
+            1,
+        )
         orders.pop(backend, None)
-        orders[backend] = at, out
-        for old in [name for name, (_, gone) in orders.items() if not gone][:-_KEPT]:
+        orders[backend] = ordered_at, cordoned
+        for old in [name for name, (_, is_cordon) in orders.items() if not is_cordon][:-_MAX_UNCORDON_ORDERS]:
             del orders[old]
-        return at
+        return ordered_at
+
+    def is_confirmed(self, ordered_at: int) -> bool:
+        """Whether an order of that time is in force in all other processes whose records show it.
 
-    def confirmed(self, at: int) -> bool:
-        """Whether an order of that time is in force in all processes that can tell."""
-        return all(other.heard.get(self.me.id, 0) >= at for other in self.others if other.version <= VERSION)
+        Records of a newer version can't be read beyond the envelope, so they are left out."""
+        return all(
+            other.heard.get(self.own_record.id, 0) >= ordered_at
+            for other in self.others
+            if other.version <= VERSION
+        )
 
     @property
-    def processes(self) -> int:
+    def process_count(self) -> int:
         return 1 + len(self.others)
 
     @property
-    def heir(self) -> bool:
-        """Whether a younger one takes clients."""
-        return any(other.state == SERVING and _age(other) > _age(self.me) for other in self.others)
+    def has_successor(self) -> bool:
+        """Whether a process that started later serves clients."""
+        return any(
+            other.state == SERVING and _start_key(other) > _start_key(self.own_record)
+            for other in self.others
+        )
 
     @property
-    def legacy(self) -> dict[str, Any] | None:
-        """What the last one before this one has learned, once it says so."""
-        older = [other for other in self.others if _age(other) < _age(self.me) and other.learned is not None]
-        return max(older, key=_age).learned if older else None
+    def predecessor_state(self) -> dict[str, Any] | None:
+        """The learned state of the latest predecessor that has exported one."""
+        older = [
+            other
+            for other in self.others
+            if _start_key(other) < _start_key(self.own_record) and other.learned is not None
+        ]
+        return max(older, key=_start_key).learned if older else None
 
 
-def _last(record: Record) -> int:
-    return max((at for at, _ in record.orders.values()), default=0)
+def _last_order_time(record: Record) -> int:
+    return max((ordered_at for ordered_at, _ in record.orders.values()), default=0)
 
 
-def _age(record: Record) -> tuple[int, str]:
+def _start_key(record: Record) -> tuple[int, str]:
     return record.born, record.id
--- a/src/nettledeal/log_setup.py
+++ b/src/nettledeal/log_setup.py
@@ -1,4 +1,4 @@
-"""How the agent logs: JSON lines on standard error, and never a reason to end."""
+"""Logging of the agent: JSON lines on standard error. A failure to log never stops the agent."""
 
 import sys
 from contextlib import suppress
@@ -7,7 +7,7 @@
 
 
 class TolerantStream:
-    """Standard error, whose reader may go away or fall behind: no reason for the agent to end."""
+    """Standard error with write errors ignored, as its reader may go away or fall behind."""
 
     def write(self, text: str) -> None:
         with suppress(OSError, ValueError):
@@ -19,7 +19,7 @@
 
 
 def configure_log(level: str) -> None:
-    """`level` is the least that is written: debug, info, warning or error."""
+    """Set up logging; `level` is the lowest that is written: debug, info, warning or error."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.WriteLoggerFactory(file=TolerantStream()),
--- a/src/nettledeal/membership_settings.py
+++ b/src/nettledeal/membership_settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from nettledeal.configuration_files import ConfigError, address
+from nettledeal.configuration_files import ConfigError, parse_address_key
 from nettledeal.net.address import Address
 from nettledeal.net.clock import SECOND
 
@@ -91,7 +91,7 @@
 
 def _parse_ip_address(key: str, text: str) -> Address:
     """Parse an address and port. Host names are rejected: they may not resolve during an outage."""
-    parsed = address(key, text)
+    parsed = parse_address_key(key, text)
     try:
         ip_address(parsed[0])
     except ValueError:
--- a/src/nettledeal/reloading.py
+++ b/src/nettledeal/reloading.py
@@ -1,4 +1,4 @@
-"""A reload: which parts of a configuration take effect while the agent serves, and which at a restart."""
+"""Reload: which parts of a configuration take effect while the agent serves, and which at a restart only."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -14,10 +14,11 @@
 
 log = structlog.get_logger()
 
-# What was built by it at the start, or is bound to the module's memory; seed and known list are for a start.
-FIXED = ("name", "listen", "admin", "memory_mb", "sockets", "longest", "membership")
-# Settings that were built in at the start, too.
-BUILT = (
+# Attributes of Configuration that take effect only at a restart: parts built at the start depend on them.
+# `seed` and `known` are left out, as only the start uses them. The names are logged, so they must not change.
+RESTART_ONLY_ATTRIBUTES = ("name", "listen", "admin", "memory_mb", "sockets", "longest", "membership")
+# Settings, or groups of them, that take effect only at a restart.
+RESTART_ONLY_SETTINGS = (
     "zone",
     "zones",
     "kinds",
@@ -29,27 +30,30 @@
 )
 
 
-def put_in_force(
+def apply_reload(
     old: Configuration,
     new: Configuration,
     router: Router,
     discovery_watch: DiscoveryWatch,
     overlay: Mapping[str, Any],
 ) -> Configuration:
-    """What is in force from here on, in one step. `new` has been checked against `old`; `overlay` are the
-    settings that stand for those of the file."""
-    later = [key for key in FIXED if getattr(new, key) != getattr(old, key)]
-    later += [f"settings.{key}" for key in BUILT if new.group(key) != old.group(key)]
-    if later:
-        log.warning("these take effect only at a restart", keys=later)
+    """Apply `new` in one step and return the configuration now in force.
+
+    `new` has been checked against `old`. Settings in `overlay` override those of the file."""
+    restart_only = [key for key in RESTART_ONLY_ATTRIBUTES if getattr(new, key) != getattr(old, key)]
+    restart_only += [
+        f"settings.{key}" for key in RESTART_ONLY_SETTINGS if new.subtree(key) != old.subtree(key)
+    ]
+    if restart_only:
+        log.warning("these take effect only at a restart", keys=restart_only)
     if new.log_level != old.log_level:
         configure_log(new.log_level)
     if new.settings != old.settings:
-        kept = {name: value for key in BUILT for name, value in old.group(key).items()}
+        unchanged = {name: value for key in RESTART_ONLY_SETTINGS for name, value in old.subtree(key).items()}
         router.update_settings(
-            {**new.settings, **kept, **overlay},
-            new.numbers("projects"),
-            new.waits(),
+            {**new.settings, **unchanged, **overlay},
+            new.indices_by_name("projects"),
+            new.default_timeouts(),
             new.setting("allowed.max_open"),
         )
     discovery_watch.change_address(new.discovery)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import SECOND, Drive, attempts
 
-from nettledeal.handover import LEAVING, SERVING, STARTING, VERSION, Handover, read
+from nettledeal.handover import LEAVING, SERVING, STARTING, VERSION, Handover, parse_record
 from nettledeal.learned_state import export_learned, import_learned
 from nettledeal.model import Listing, Outcome
 from nettledeal.net.transport.handover_folder import HandoverFolder
@@ -17,12 +17,12 @@
 
 def process(id, born, state=SERVING, agent="n1", listen="127.0.0.1:1"):
     found = Handover(id, agent, listen, born)
-    found.me.state = state
+    found.own_record.state = state
     return found
 
 
 def shown(*processes):
-    return [read(msgspec.json.encode(one.me)) for one in processes]
+    return [parse_record(msgspec.json.encode(one.own_record)) for one in processes]
 
 
 @pytest.mark.parametrize(
@@ -36,107 +36,107 @@
 )
 def test_who_succeeds_whom(state, born, heir, processes):
     me = process("a", 1)
-    me.told(shown(process("b", born, state)))
-    assert (me.heir, me.processes) == (heir, processes)
-    me.told([])  # crashed, before its yes or after
-    assert (me.heir, me.processes) == (False, 1)
+    me.merge_records(shown(process("b", born, state)))
+    assert (me.has_successor, me.process_count) == (heir, processes)
+    me.merge_records([])  # crashed, before its yes or after
+    assert (me.has_successor, me.process_count) == (False, 1)
 
 
 @pytest.mark.parametrize("other", [process("b", 2, agent="n2"), process("b", 2, listen="127.0.0.1:2")])
 def test_records_of_another_agent_or_address_count_for_nothing(other):
     me = process("a", 1)
-    other.ordered("s1", True, 5)
-    assert me.told(shown(other)) == {}
-    assert (me.heir, me.processes) == (False, 1)
+    other.record_order("s1", True, 5)
+    assert me.merge_records(shown(other)) == {}
+    assert (me.has_successor, me.process_count) == (False, 1)
 
 
 def test_one_that_comes_twice_is_counted_and_the_youngest_is_the_heir():
     first, second, third = process("a", 1), process("b", 2), process("c", 3)
-    first.told(shown(second, third))
-    third.told(shown(first, second))
-    assert (first.processes, first.heir, third.heir) == (3, True, False)
+    first.merge_records(shown(second, third))
+    third.merge_records(shown(first, second))
+    assert (first.process_count, first.has_successor, third.has_successor) == (3, True, False)
 
 
 def test_an_order_given_to_either_binds_both_and_is_confirmed():
     old, new = process("a", 1), process("b", 2)
     for here, there in ((old, new), (new, old)):
-        here.told(shown(there))
-        at = here.ordered("s1", here is old, 100)
-        assert not here.confirmed(at)
-        assert there.told(shown(here)) == {"s1": here is old}
-        here.told(shown(there))
-        assert not here.confirmed(at), "heard of is not yet in force"
-        there.carried_out()
-        here.told(shown(there))
-        assert here.confirmed(at)
-        assert there.told(shown(here)) == {}, "once"
-    here.told([])
-    assert here.confirmed(10**9), "nobody is left to ask"
+        here.merge_records(shown(there))
+        at = here.record_order("s1", here is old, 100)
+        assert not here.is_confirmed(at)
+        assert there.merge_records(shown(here)) == {"s1": here is old}
+        here.merge_records(shown(there))
+        assert not here.is_confirmed(at), "heard of is not yet in force"
+        there.acknowledge_orders()
+        here.merge_records(shown(there))
+        assert here.is_confirmed(at)
+        assert there.merge_records(shown(here)) == {}, "once"
+    here.merge_records([])
+    assert here.is_confirmed(10**9), "nobody is left to ask"
 
 
 def test_the_later_order_holds_whatever_the_clocks_say():
     old, new = process("a", 1), process("b", 2)
-    old.ordered("s1", True, 1000)
-    assert new.told(shown(old)) == {"s1": True}
-    new.ordered("s1", False, 3)  # its clock is behind
-    assert old.told(shown(new)) == {"s1": False}
-    assert new.told(shown(old)) == {}
+    old.record_order("s1", True, 1000)
+    assert new.merge_records(shown(old)) == {"s1": True}
+    new.record_order("s1", False, 3)  # its clock is behind
+    assert old.merge_records(shown(new)) == {"s1": False}
+    assert new.merge_records(shown(old)) == {}
 
 
 def test_a_successor_of_the_successor_knows_what_the_first_was_told():
     first, second, third = process("a", 1), process("b", 2), process("c", 3)
-    first.ordered("s1", True, 1)
-    second.told(shown(first))
-    second.carried_out()
-    assert third.told(shown(second)) == {"s1": True}
+    first.record_order("s1", True, 1)
+    second.merge_records(shown(first))
+    second.acknowledge_orders()
+    assert third.merge_records(shown(second)) == {"s1": True}
 
 
 def test_orders_that_ask_for_nothing_do_not_pile_up():
     me = process("a", 1)
-    me.ordered("kept", True, 1)
+    me.record_order("kept", True, 1)
     for n in range(500):
-        me.ordered(f"s{n}", False, n)
-    assert len(me.me.orders) < 100 and me.me.orders["kept"][1]
+        me.record_order(f"s{n}", False, n)
+    assert len(me.own_record.orders) < 100 and me.own_record.orders["kept"][1]
 
 
-WHOLE = msgspec.json.encode(process("a", 1).me)
+WHOLE = msgspec.json.encode(process("a", 1).own_record)
 
 
 @pytest.mark.parametrize("end", range(0, len(WHOLE) - 1, 7))
 def test_a_torn_record_is_none(end):
-    assert read(WHOLE[:end]) is None
+    assert parse_record(WHOLE[:end]) is None
 
 
 @pytest.mark.parametrize(
     "raw", [b"", b"null", b"[]", b"{}", b"\xff\xfe", WHOLE.replace(b'"a"', b"7"), bytes(99)]
 )
 def test_what_is_no_record_is_none(raw):
-    assert read(raw) is None
+    assert parse_record(raw) is None
 
 
 def test_a_newer_record_says_who_and_what_state_it_is_and_no_more():
     told = msgspec.json.decode(WHOLE) | {"version": VERSION + 1, "orders": "otherwise", "heard": 3}
     me = process("z", 0)
-    assert me.told([read(msgspec.json.encode(told))]) == {}
-    assert me.heir and me.confirmed(5)
+    assert me.merge_records([parse_record(msgspec.json.encode(told))]) == {}
+    assert me.has_successor and me.is_confirmed(5)
 
 
 # The folder.
 
 
 def write(folder, one):
-    folder.write(msgspec.json.encode(one.me))
+    folder.write(msgspec.json.encode(one.own_record))
 
 
 def test_processes_that_live_are_found_and_their_records_are_whole(tmp_path):
     one, other = HandoverFolder(tmp_path, "a"), HandoverFolder(tmp_path, "b")
-    assert one.read_others(read) == [] and one.has_others, "it lives, and has said nothing yet"
+    assert one.read_others(parse_record) == [] and one.has_others, "it lives, and has said nothing yet"
     write(other, process("b", 2))
-    assert [record.id for record in one.read_others(read)] == ["b"]
+    assert [record.id for record in one.read_others(parse_record)] == ["b"]
     (tmp_path / "nettledeal-b.record").write_bytes(WHOLE[:30])
-    assert one.read_others(read) == []
+    assert one.read_others(parse_record) == []
     other.remove()
-    assert one.read_others(read) == [] and not one.has_others
+    assert one.read_others(parse_record) == [] and not one.has_others
 
 
 def test_what_the_dead_have_left_goes(tmp_path):
@@ -145,13 +145,13 @@
     write(other, process("b", 2))
     os.close(other.lock_fd)  # as the kernel does, however it died
     (tmp_path / "foreign").write_text("x")
-    assert one.read_others(read) == []
+    assert one.read_others(parse_record) == []
     assert sorted(place.name for place in tmp_path.iterdir()) == ["foreign", "nettledeal-a.lock"]
 
 
 def test_alone_there_is_nothing_to_look_at(tmp_path):
     one = HandoverFolder(tmp_path, "a")
-    one.read_others(read)
+    one.read_others(parse_record)
     assert not one.may_have_changed
     HandoverFolder(tmp_path, "b")
     assert one.may_have_changed
@@ -171,11 +171,11 @@
         env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
     )
     assert other.stdout.readline() == "there\n"
-    one.read_others(read)
+    one.read_others(parse_record)
     assert one.has_others
     other.send_signal(signal.SIGKILL)
     other.wait()
-    one.read_others(read)
+    one.read_others(parse_record)
     assert not one.has_others
     other.stdout.close()
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -8,7 +8,7 @@
 from test_program import TOLD, changed
 from test_router import RouterRig
 
-from nettledeal.configuration import check
+from nettledeal.configuration import parse_configuration
 from nettledeal.configuration_change import check_replacement
 from nettledeal.configuration_files import ConfigError
 from nettledeal.learned_state import dependencies, export_learned, import_learned, reset_changed
@@ -151,18 +151,18 @@
 def test_settings_of_the_decision_module_are_validated(path, value):
     key = "settings." + path
     with pytest.raises(ConfigError, match=key):
-        check(changed(key, value), {})
+        parse_configuration(changed(key, value), {})
 
 
 def test_infinite_numbers_are_rejected():
     with pytest.raises(ConfigError):
-        check(changed("settings.tariffs.connection", 0.5).replace(b"0.5", b"1e999"), {})
+        parse_configuration(changed("settings.tariffs.connection", 0.5).replace(b"0.5", b"1e999"), {})
 
 
 def test_omitted_settings_change_nothing():
-    plain = check(json.dumps(TOLD).encode(), {})
+    plain = parse_configuration(json.dumps(TOLD).encode(), {})
     more = changed("settings.me", 3, ("settings.weights", "live"), ("settings.tariffs.connection", 0.03))
-    assert check_replacement(plain, check(more, {})) is None
+    assert check_replacement(plain, parse_configuration(more, {})) is None
     drive = Drive([Listing(f"b{n}") for n in range(30)])
     assert drive.balancer.state.subsets[0] == drive.balancer.state.near
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -209,7 +209,7 @@
         "membership": MEMBERSHIP | change,
     }
     with pytest.raises(ConfigError) as raised:
-        configuration.check(json.dumps(file).encode(), {})
+        configuration.parse_configuration(json.dumps(file).encode(), {})
     assert str(raised.value).startswith(error), raised.value
     assert "\n" not in str(raised.value)
 
@@ -217,4 +217,4 @@
 def test_an_agent_with_membership_needs_a_name():
     file = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "membership": MEMBERSHIP}
     with pytest.raises(ConfigError, match="^name: "):
-        configuration.check(json.dumps(file).encode(), {"EDGE_NAME": "agent"})
+        configuration.parse_configuration(json.dumps(file).encode(), {"EDGE_NAME": "agent"})
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -10,8 +10,8 @@
 from gevent.event import Event
 from helpers import Far, Peer, asked, free_place, replies, served, socket, until
 
-from nettledeal.configuration import check, read
-from nettledeal.configuration_files import ConfigError, address
+from nettledeal.configuration import parse_configuration, read_configuration
+from nettledeal.configuration_files import ConfigError, parse_address_key
 from nettledeal.net.address import format_address
 
 SRC = str(Path(__file__).parents[1] / "src")
@@ -43,13 +43,13 @@
 
 
 def test_settings_become_a_plain_map_in_the_projects_words_and_units():
-    told = check(json.dumps(TOLD).encode(), {})
+    told = parse_configuration(json.dumps(TOLD).encode(), {})
     assert told.settings["allowed.conn_idle"] == 600_000
     assert told.settings["categories.count"] == 1
     assert told.settings["categories.0.effect"] == "exclusive"
     assert told.settings["categories.0.due_time"] == 3_000
-    assert (told.text("zones"), told.text("projects")) == (["a", "b"], [])
-    assert (told.numbers("categories"), told.numbers("projects")) == ({"b": 0}, {})
+    assert (told.text_list("zones"), told.text_list("projects")) == (["a", "b"], [])
+    assert (told.indices_by_name("categories"), told.indices_by_name("projects")) == ({"b": 0}, {})
     assert told.seed == 0x8C1F30D27A5BE964
 
 
@@ -77,7 +77,7 @@
 def test_faults_name_the_key(path, value, key):
     raw = changed(path, value)
     with pytest.raises(ConfigError, match=f"^{key}: ") as fault:
-        check(raw, {})
+        parse_configuration(raw, {})
     assert "\n" not in str(fault.value)
 
 
@@ -86,14 +86,16 @@
 )
 def test_a_file_that_cannot_be_read(environment, key):
     with pytest.raises(ConfigError, match=f"^{key}: "):
-        read(environment)
+        read_configuration(environment)
 
 
 def test_what_the_file_leaves_out_is_taken_from_the_environment_or_has_a_default():
-    told = check(b"{}", {"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"})
+    told = parse_configuration(
+        b"{}", {"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"}
+    )
     assert (told.name, told.listen, told.discovery) == ("n9", ("127.0.0.1", 1), ("127.0.0.1", 2))
     assert told.sockets and told.memory_mb and not told.settings
-    assert address("listen", "[::1]:80") == ("::1", 80)
+    assert parse_address_key("listen", "[::1]:80") == ("::1", 80)
 
 
 def start(tmp_path, raw, **environment):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -8,7 +8,7 @@
 from test_program import TOLD, changed
 from test_router import RouterRig
 
-from nettledeal.configuration import check
+from nettledeal.configuration import parse_configuration
 from nettledeal.configuration_change import check_replacement
 from nettledeal.configuration_files import ConfigError
 from nettledeal.model import Outcome, Verdict
@@ -20,7 +20,7 @@
 FORCE["settings"]["categories"].append(
     {"name": "c", "effect": "safe", "expiry": 500_000_000, "due_time": 200_000_000, "payoff": 2.0}
 )
-OLD = check(json.dumps(FORCE).encode(), {})
+OLD = parse_configuration(json.dumps(FORCE).encode(), {})
 
 
 def edited(path, value=None, drop=False):
@@ -72,7 +72,7 @@
 def test_a_faulty_file_is_refused_by_its_key(raw, key):
     environment = {"EDGE_DISCOVERY": "127.0.0.1:2"}
     with pytest.raises(ConfigError, match=rf"^{key}\b") as fault:
-        check_replacement(OLD, check(raw, environment))
+        check_replacement(OLD, parse_configuration(raw, environment))
     assert "\n" not in str(fault.value)
 
 
@@ -88,12 +88,12 @@
     ],
 )
 def test_a_good_file_is_taken(raw):
-    check_replacement(OLD, check(raw, {}))
+    check_replacement(OLD, parse_configuration(raw, {}))
 
 
 def test_the_same_file_with_other_numbers_takes_its_own_place():
-    old = check(changed("settings.categories.0.expiry", 1_000_000), {})
-    check_replacement(old, check(changed("settings.categories.0.expiry", 2_000_000), {}))
+    old = parse_configuration(changed("settings.categories.0.expiry", 1_000_000), {})
+    check_replacement(old, parse_configuration(changed("settings.categories.0.expiry", 2_000_000), {}))
 
 
 def named(*categories, **changes):
