--- a/src/nettledeal/cli.py
+++ b/src/nettledeal/cli.py
@@ -104,10 +104,10 @@
     view = msgspec.json.decode(answer)
     sure = "" if view["sure"] else ", not sure: the old count holds"
     click.echo(f"{view['name']} of {view['cluster']}: counts {view['counted']} agents{sure}")
-    for member in view["members"]:
-        reporter = f", says {member['by']}" if member["by"] else ""
+    for entry in view["members"]:
+        reporter = f", says {entry['by']}" if entry["by"] else ""
         click.echo(
-            f"{member['name']:<24} {member['state']:<8} {member['at']:<22} for {member['for_s']:.1f} s{reporter}"
+            f"{entry['name']:<24} {entry['state']:<8} {entry['at']:<22} for {entry['for_s']:.1f} s{reporter}"
         )
     return 0
 
