--- a/tests/system/test_selection_choice.py
+++ b/tests/system/test_selection_choice.py
@@ -265,7 +265,10 @@
 
 
 def test_a_prefix_leaves_a_backend_with_a_much_longer_queue_than_another():
-    """Comparing with the mean of two queues, one of them long, hid that the other backend was idle."""
+    """Comparing with the mean of two queues, one of them long, hid that the other backend was idle.
+
+    Requests with long prefixes then piled up at one backend.
+    """
     unloaded, selector = make_selector(), make_selector()
     for agent in (unloaded, selector):
         serve_request(agent, HOME_CALL, 0.5)
--- a/tests/system/test_selection_load.py
+++ b/tests/system/test_selection_load.py
@@ -96,9 +96,8 @@
     selector.set_suspect_zones({"north-2"})
     assert set(count_choices(selector, 1.0)) == {"n1", "n2"}
     assert selector.max_idle_s("n3", 1.0) == Tuning().max_idle_after_zone_failure_s
-    selector.set_suspect_zones(
-        {"north-2", "south-1"}
-    )  # four of six: the two others can't carry the load of all
+    # Four of six backends: the two others can't carry the load of all.
+    selector.set_suspect_zones({"north-2", "south-1"})
     assert set(count_choices(selector, 1.0)) == {"n1", "n2", "n3", "n4"}
     selector.set_suspect_zones(set())
     assert set(count_choices(selector, 1.0)) == {"n1", "n2", "n3", "n4"}
