--- a/src/nettledeal/discovery/__init__.py
+++ b/src/nettledeal/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery of backends: the reader of the platform's list and the catalogue that it publishes."""
+"""Discovery of backends: reads the platform's list and publishes the catalogue."""
--- a/src/nettledeal/distribution/control_source.py
+++ b/src/nettledeal/distribution/control_source.py
@@ -1,10 +1,10 @@
-"""The entries of the `control` source, made from the control state.
+"""Builds the entries of the `control` source from the control state.
 
-Each route and each service is an entry of its own, so that a small change of a large configuration makes a
+Each route and each service has its own entry, so that a small change to a large configuration produces a
 small update: `route/<hostname> <path_prefix>` and `service/<name>` hold their JSON as the operator sent it;
-`limits` and `generation` belong to the configuration; `evacuation/<zone>` is there while its zone is
-evacuated; `share/<name>` is a data plane's place in the share roster. Routes of tenants are
-`tenant-route/<hostname> <path_prefix>`, so that a data plane of a release without tenants has none of them;
+`limits` and `generation` belong to the configuration; `evacuation/<zone>` exists while its zone is
+evacuated; `share/<name>` is a data plane's place in the share roster. Tenant routes have the key
+`tenant-route/<hostname> <path_prefix>`, so that data planes of releases without tenant support ignore them;
 `tenancy` holds the tenants and `tenant-key/<name>` a sealed key.
 """
 
@@ -31,8 +31,8 @@
 SHARE_PREFIX = "share/"
 TENANCY_KEY = "tenancy"
 CONFIGURATION_KEY = "configuration"
-_PASSED_ON = (EVACUATION_PREFIX, TENANT_KEY_PREFIX, SHARE_PREFIX)
-_NO_TENANTS = b"[]"
+_UNCHANGED_PREFIXES = (EVACUATION_PREFIX, TENANT_KEY_PREFIX, SHARE_PREFIX)
+_EMPTY_TENANT_LIST = b"[]"
 
 
 class _Parts(msgspec.Struct):
@@ -51,7 +51,7 @@
 
     @property
     def key(self) -> str:
-        """The key of the route's entry."""
+        """The key of the route's entry, which differs for tenant routes."""
         key = route_key(self.hostname, self.path_prefix)
         if self.tenant is None and not self.tenant_by_token:
             return key
@@ -62,22 +62,22 @@
     name: str
 
 
-_PARTS = msgspec.json.Decoder(_Parts)
-_ROUTE_IDENTITY = msgspec.json.Decoder(_RouteIdentity)
-_SERVICE_IDENTITY = msgspec.json.Decoder(_ServiceIdentity)
+_CONFIGURATION_DECODER = msgspec.json.Decoder(_Parts)
+_ROUTE_IDENTITY_DECODER = msgspec.json.Decoder(_RouteIdentity)
+_SERVICE_IDENTITY_DECODER = msgspec.json.Decoder(_ServiceIdentity)
 
 
 def route_key(hostname: str, path_prefix: str) -> str:
-    """The key of a route."""
+    """Returns the entry key of a route without tenants."""
     return f"{ROUTE_PREFIX}{hostname} {path_prefix}"
 
 
 def control_entries(state: Mapping[str, bytes]) -> dict[str, bytes]:
-    """The published entries that belong to the entries of the control state.
+    """Returns the entries to publish for a control state.
 
     Raises ServingError with INVALID_CONFIGURATION if the stored configuration can't be read.
     """
-    entries = {key: value for key, value in state.items() if key.startswith(_PASSED_ON)}
+    entries = {key: value for key, value in state.items() if key.startswith(_UNCHANGED_PREFIXES)}
     stored = state.get(CONFIGURATION_KEY)
     if stored is not None:
         entries.update(_configuration_entries(stored))
@@ -86,16 +86,19 @@
 
 @lru_cache(maxsize=1)
 def _configuration_entries(stored: bytes) -> Mapping[str, bytes]:
-    """The entries of a configuration. Those of the last one are kept, since few commands change it."""
+    """Returns the entries of a configuration; cached, since few commands change it."""
     try:
-        parts = _PARTS.decode(unpack_json(stored))
-        entries = {GENERATION_KEY: str(parts.generation).encode(), LIMITS_KEY: bytes(parts.limits)}
-        for route in parts.routes:
-            entries[_ROUTE_IDENTITY.decode(route).key] = bytes(route)
-        for service in parts.services:
-            entries[SERVICE_PREFIX + _SERVICE_IDENTITY.decode(service).name] = bytes(service)
-        if bytes(parts.tenants) != _NO_TENANTS:
-            entries[TENANCY_KEY] = bytes(parts.tenants)
+        configuration = _CONFIGURATION_DECODER.decode(unpack_json(stored))
+        entries = {
+            GENERATION_KEY: str(configuration.generation).encode(),
+            LIMITS_KEY: bytes(configuration.limits),
+        }
+        for route in configuration.routes:
+            entries[_ROUTE_IDENTITY_DECODER.decode(route).key] = bytes(route)
+        for service in configuration.services:
+            entries[SERVICE_PREFIX + _SERVICE_IDENTITY_DECODER.decode(service).name] = bytes(service)
+        if bytes(configuration.tenants) != _EMPTY_TENANT_LIST:
+            entries[TENANCY_KEY] = bytes(configuration.tenants)
     except msgspec.MsgspecError as error:
         raise ServingError(ErrorCode.INVALID_CONFIGURATION, "publish configuration", str(error)) from None
     return MappingProxyType(entries)
--- a/src/nettledeal/distribution/targets.py
+++ b/src/nettledeal/distribution/core_directory.py
@@ -1,4 +1,4 @@
-"""Which core machines a subscriber turns to, in order of preference."""
+"""The known core machines, and the order in which a subscriber tries their publishers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CoreMachine(msgspec.Struct, frozen=True):
-    """Where a core machine's publisher is reached."""
+    """Location and address of a core machine's publisher."""
 
     host: str
     port: int
@@ -30,12 +30,12 @@
 
 
 def core_entries(machines: Mapping[str, CoreMachine]) -> dict[str, bytes]:
-    """The entries that announce core machines, by replica id."""
+    """Returns the `cores` source entries for core machines, keyed by replica id."""
     return {CORE_PREFIX + replica: msgspec.json.encode(machine) for replica, machine in machines.items()}
 
 
 def read_cores(entries: Mapping[str, bytes]) -> list[CoreMachine]:
-    """The core machines announced among `entries`."""
+    """Decodes the core machines in the entries of the `cores` source."""
     return [
         msgspec.json.decode(value, type=CoreMachine)
         for key, value in entries.items()
@@ -44,35 +44,35 @@
 
 
 class CoreDirectory:
-    """The core machines that one process knows, for the `targets` of its subscriber."""
+    """The core machines known to this process; orders them as publishers for its subscriber."""
 
     def __init__(self, settings: Settings, member_hosts: Callable[[], Iterable[str]] = tuple):
-        """`member_hosts`: where membership sees a replica of the control state."""
+        """`member_hosts` returns the hosts where membership sees a control state replica."""
         self._settings = settings
         self._member_hosts = member_hosts
         self._cores: list[CoreMachine] = []
         self._targets = ordered_targets(settings, [])
 
     def cores(self) -> list[CoreMachine]:
-        """The core machines as last told."""
+        """Returns the core machines of the latest update."""
         return self._cores
 
-    def learn(self, entries: Mapping[str, bytes]) -> None:
-        """Take over the entries of the `cores` source."""
+    def update(self, entries: Mapping[str, bytes]) -> None:
+        """Replaces the known core machines with those in the entries of the `cores` source."""
         self._cores = read_cores(entries)
         self._targets = ordered_targets(self._settings, self._cores)
 
     def targets(self) -> list[Address]:
-        """All publishers, those preferred first; last those that only membership knows of."""
+        """Returns all publishers in order of preference; those known only from membership come last."""
         port = self._settings.port_range[0] + InternalPort.DISTRIBUTION
         members = [Address(host, port) for host in self._member_hosts()]
         return self._targets + [address for address in members if address not in self._targets]
 
 
 def ordered_targets(settings: Settings, cores: Iterable[CoreMachine]) -> list[Address]:
-    """Cores of the own zone first, then of the own region, then others, then seeds that are none of these.
+    """Orders cores: own zone first, then own region, then others, then seeds that aren't among them.
 
-    Among equals each subscriber has an order of its own, so that subscribers spread over cores.
+    Ties are broken by a hash that includes the subscriber's name, which spreads subscribers over cores.
     """
     known = sorted(cores, key=lambda core: (_distance(settings, core), _rank(settings, core.address)))
     addresses = [core.address for core in known]
--- a/src/nettledeal/distribution/protocol.py
+++ b/src/nettledeal/distribution/protocol.py
@@ -1,8 +1,8 @@
 """The messages between publishers and subscribers.
 
-Unknown fields are ignored and fields added later have defaults, so neighbouring releases understand each
-other; a message type added later may be sent only to a peer whose `Subscribe` or `Heartbeat` says by its
-`protocol` that it knows it.
+Unknown fields are ignored and fields added later have defaults, so adjacent releases are
+compatible; a message type added later may be sent only to a peer whose `Subscribe` or `Heartbeat` announces a
+`protocol` version that supports it.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from nettledeal.common.messages import MAX_FRAME_BYTES, MessageCodec
 
 PROTOCOL_VERSION = 3
-COMPRESSED_SINCE = 2
-FAILURES_SINCE = 3
+COMPRESSION_MIN_PROTOCOL = 2
+FINDINGS_MIN_PROTOCOL = 3
 
 Version = tuple[int, ...]
 NO_VERSION: Version = ()
 
 
 class UpdateScope(StrEnum):
-    """What the entries of an update stand for."""
+    """Which part of the map an update covers."""
 
     KEYS = "keys"  # the changes since `from_version`
     RANGES = "ranges"  # the whole content of the listed ranges
@@ -31,7 +31,7 @@
 
 
 class HeldSource(msgspec.Struct, frozen=True):
-    """What a subscriber holds of one source: its version and root digest; no version asks for everything."""
+    """A subscriber's version and root digest of one source; NO_VERSION requests the whole map."""
 
     name: str
     version: Version = NO_VERSION
@@ -39,7 +39,7 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, tag="subscribe"):
-    """Opens a subscription, or renews it for some sources after a gap."""
+    """Opens a subscription, or restarts it for some sources after a missed update."""
 
     subscriber: str
     role: str
@@ -69,7 +69,7 @@
 
 
 class Digests(msgspec.Struct, frozen=True, tag="digests"):
-    """The range digests of a source at `version`, offered where its changes are no longer at hand."""
+    """Range digests of a source at `version`, sent if the change log doesn't cover the update."""
 
     source: str
     version: Version
@@ -77,7 +77,7 @@
 
 
 class RangeRequest(msgspec.Struct, frozen=True, tag="range_request"):
-    """Asks for the ranges that differ from those of a `Digests` message for `version`."""
+    """Requests the ranges whose digests differ from a `Digests` message for `version`."""
 
     source: str
     version: Version
@@ -85,7 +85,7 @@
 
 
 class SourceStatus(msgspec.Struct, frozen=True):
-    """A publisher's version of one source, and how long ago that was confirmed; None if it never was."""
+    """A publisher's version of one source and its age since confirmation; None if never confirmed."""
 
     name: str
     version: Version
@@ -93,22 +93,22 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
-    """Sent at once after a subscription and then at a fixed interval."""
+    """Sent immediately after a subscription and then at a fixed interval."""
 
     sources: list[SourceStatus]
     protocol: int = 1
 
 
 class BackendFindings(msgspec.Struct, frozen=True, tag="backend_failures", omit_defaults=True):
-    """What an agent has just found at backends; passed on to other subscribers of its zone.
+    """Problems that an agent has just observed at backends; forwarded to other subscribers of its zone.
 
-    Only for peers of protocol 3 or later; those of earlier releases leave out the fields added later. It is a
-    hint that may be lost.
+    Sent only to peers of protocol 3 or later; earlier releases omit the fields that were added later.
+    Delivery is best effort.
     """
 
-    backend_ids: list[str]  # attempts failed there
-    replaced: list[str] = []  # other backends answer at their addresses
-    queues: dict[str, float] = {}  # long queues that were read there, in requests
+    backend_ids: list[str]  # with failed attempts
+    replaced: list[str] = []  # their addresses now belong to other backends
+    queues: dict[str, float] = {}  # reported long queues, in requests
 
 
 class Compressed(msgspec.Struct, frozen=True, tag="compressed"):
@@ -124,13 +124,13 @@
 CODEC: MessageCodec[DistributionMessage] = MessageCodec(DistributionMessage)
 
 
-def compressed(encoded: bytes) -> Compressed:
-    """An encoded message in fewer bytes."""
+def compress_message(encoded: bytes) -> Compressed:
+    """Compresses an encoded message."""
     return Compressed(compress(encoded))
 
 
-def expanded(message: DistributionMessage, peer: str | None = None) -> DistributionMessage:
-    """The message that a compressed one holds; others as they are. Raises ServingError: MALFORMED_MESSAGE."""
+def expand_message(message: DistributionMessage, peer: str | None = None) -> DistributionMessage:
+    """Decompresses a compressed message; returns others unchanged. Raises ServingError: MALFORMED_MESSAGE."""
     if not isinstance(message, Compressed):
         return message
     return CODEC.decode(expand(message.payload, peer, MAX_FRAME_BYTES), peer)
--- a/src/nettledeal/distribution/source.py
+++ b/src/nettledeal/distribution/published_source.py
@@ -1,4 +1,4 @@
-"""A versioned map with a bounded log of its changes, from which updates for subscribers are made."""
+"""A versioned map with a bounded change log from which updates for subscribers are built."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from nettledeal.common.digests import RangeDigests, keys_in_ranges, range_of
 from nettledeal.distribution.protocol import (
     CODEC,
-    COMPRESSED_SINCE,
+    COMPRESSION_MIN_PROTOCOL,
     NO_VERSION,
     Digests,
     DistributionMessage,
@@ -18,49 +18,49 @@
     Update,
     UpdateScope,
     Version,
-    compressed,
+    compress_message,
 )
 
 CHANGE_LOG_LENGTH = 256
 
 
 class SharedMessage:
-    """A message for many receivers, encoded once."""
+    """A message that is encoded once and sent to many receivers."""
 
     def __init__(self, message: DistributionMessage):
         self.message = message
 
     @cached_property
     def frame(self) -> bytes:
-        """The encoded message with its length in front, as any peer reads it."""
+        """The uncompressed message with a length prefix, readable by all protocol versions."""
         return CODEC.frame(self.message)
 
     @cached_property
     def compressed_frame(self) -> bytes:
-        """The same for peers that read compressed messages; small ones stay as they are."""
+        """The frame for peers that support compression; small messages stay uncompressed."""
         if len(self.frame) < MIN_BYTES:
             return self.frame
-        return CODEC.frame(compressed(CODEC.encode(self.message)))
+        return CODEC.frame(compress_message(CODEC.encode(self.message)))
 
     def frame_for(self, protocol: int) -> bytes:
-        """The frame for a peer that speaks `protocol`."""
-        return self.compressed_frame if protocol >= COMPRESSED_SINCE else self.frame
+        """Returns the frame for a peer with this protocol version."""
+        return self.compressed_frame if protocol >= COMPRESSION_MIN_PROTOCOL else self.frame
 
 
 class PublishedSource:
-    """One named map of keys to values. Its version only rises."""
+    """A named key-value map whose version only increases."""
 
     def __init__(self, name: str, change_log_length: int = CHANGE_LOG_LENGTH):
         self.name = name
         self.version: Version = NO_VERSION
-        self.entries: dict[str, bytes] = {}  # for reading only
+        self.entries: dict[str, bytes] = {}  # read-only for callers
         self.digests = RangeDigests()
-        self._changes: deque[tuple[Version, frozenset[str]]] = deque(maxlen=change_log_length)
-        self._updates: dict[Version, SharedMessage | None] = {}
+        self._change_log: deque[tuple[Version, frozenset[str]]] = deque(maxlen=change_log_length)
+        self._updates_by_version: dict[Version, SharedMessage | None] = {}
         self._confirmed_at_s: float | None = None
 
     def publish(self, version: Version, entries: Mapping[str, bytes]) -> frozenset[str]:
-        """Replace the map; returns the keys that changed. An older or equal version is ignored."""
+        """Replaces the map and returns the changed keys. An older or equal version is ignored."""
         if version <= self.version:
             return frozenset()
         changed = {key: value for key, value in entries.items() if self.entries.get(key) != value}
@@ -70,7 +70,7 @@
     def publish_changes(
         self, version: Version, changed: Mapping[str, bytes], removed: Iterable[str]
     ) -> frozenset[str]:
-        """Apply changes to the map; returns the keys that changed. An older or equal version is ignored."""
+        """Applies changes to the map and returns the changed keys. An older or equal version is ignored."""
         if version <= self.version:
             return frozenset()
         removed = [key for key in removed if key in self.entries]
@@ -80,13 +80,13 @@
             self.digests.change(key, self.entries.get(key), value)
             self.entries[key] = value
         keys = frozenset(changed).union(removed)
-        self._changes.append((self.version, keys))
-        self._updates.clear()
+        self._change_log.append((self.version, keys))
+        self._updates_by_version.clear()
         self.version = version
         return keys
 
     def confirm(self, now_s: float, age_s: float = 0.0) -> None:
-        """Note that the map was known to be current `age_s` before `now_s` (monotonic seconds)."""
+        """Records that the map was known to be current `age_s` before `now_s` (monotonic seconds)."""
         confirmed_at_s = now_s - age_s
         if self._confirmed_at_s is None or confirmed_at_s > self._confirmed_at_s:
             self._confirmed_at_s = confirmed_at_s
@@ -98,25 +98,25 @@
         return max(0.0, now_s - self._confirmed_at_s)
 
     def status(self, now_s: float) -> SourceStatus:
-        """What a heartbeat says of the source."""
+        """Returns the source's status for heartbeats."""
         age_s = self.age_s(now_s)
         return SourceStatus(self.name, self.version, None if age_s is None else int(age_s * 1000))
 
     def update_since(self, version: Version) -> SharedMessage | None:
-        """The update from `version` to the current one; None if the log does not reach back that far."""
-        if version not in self._updates:
+        """Returns the update from `version` to the current one; None if the log doesn't cover it."""
+        if version not in self._updates_by_version:
             update = self._make_update(version)
-            self._updates[version] = None if update is None else SharedMessage(update)
-        return self._updates[version]
+            self._updates_by_version[version] = None if update is None else SharedMessage(update)
+        return self._updates_by_version[version]
 
-    def digests_offer(self) -> Digests:
-        """The range digests of the current version."""
+    def make_digests(self) -> Digests:
+        """Returns the range digests of the current version."""
         return Digests(self.name, self.version, list(self.digests.ranges))
 
-    def ranges_update(self, offered: Version, ranges: Iterable[int]) -> Update | None:
-        """The content of `ranges`, found to differ at version `offered`, and of those changed since.
+    def make_ranges_update(self, offered: Version, ranges: Iterable[int]) -> Update | None:
+        """Returns the content of `ranges`, which differed at version `offered`, and of ranges changed since.
 
-        None if the log does not reach back to `offered`.
+        Returns None if the log doesn't reach back to `offered`.
         """
         changed_keys = self._changed_since(offered)
         if changed_keys is None:
@@ -147,7 +147,7 @@
         if version == self.version:
             return set()
         keys: set[str] = set()
-        for from_version, changed in reversed(self._changes):
+        for from_version, changed in reversed(self._change_log):
             keys |= changed
             if from_version == version:
                 return keys
--- a/src/nettledeal/distribution/publisher_session.py
+++ b/src/nettledeal/distribution/publisher_session.py
@@ -1,7 +1,7 @@
-"""The publisher's side of one subscription, without input or output.
+"""The publisher's side of one subscription; does no I/O.
 
-Nothing is queued for a subscriber: each time there is room to send, what it lacks is worked out from what it
-was sent last. A slow subscriber thus gets fewer and larger updates and holds nothing up.
+Updates aren't queued per subscriber: whenever the connection can send, the next update is computed from the
+version sent last. A slow subscriber thus gets fewer, larger updates and doesn't delay others.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.distribution.protocol import (
-    FAILURES_SINCE,
+    FINDINGS_MIN_PROTOCOL,
     NO_VERSION,
     Acknowledge,
     BackendFindings,
@@ -23,21 +23,21 @@
     Update,
     Version,
 )
-from nettledeal.distribution.source import PublishedSource, SharedMessage
+from nettledeal.distribution.published_source import PublishedSource, SharedMessage
 
 
 class Subscription(msgspec.Struct):
-    """One source of a subscriber: what it was sent, what it acknowledged, whether a repair is under way."""
+    """State of one subscribed source: versions sent and acknowledged, and any digest repair in progress."""
 
-    sent: Version
-    digest: int | None  # as the subscriber gave it; None once an update has been sent
-    acknowledged: Version = NO_VERSION
+    sent_version: Version
+    held_digest: int | None  # from the subscription request; None once an update has been sent
+    acknowledged_version: Version = NO_VERSION
     repairing: bool = False
-    request: RangeRequest | None = None
+    range_request: RangeRequest | None = None
 
 
 class PublisherSession:
-    """What one subscriber wants, holds and lacks."""
+    """Tracks the subscriptions of one subscriber and produces its updates."""
 
     def __init__(self, sources: Mapping[str, PublishedSource], peer: str):
         self.subscriber: Subscribe | None = None
@@ -46,8 +46,9 @@
         self._peer = peer
 
     def receive(self, message: DistributionMessage) -> BackendFindings | None:
-        """Take in a message and return what it has for other subscribers. Raises ServingError with
-        MALFORMED_MESSAGE for one that has no place here.
+        """Processes a message and returns any findings to forward to other subscribers.
+
+        Raises ServingError with MALFORMED_MESSAGE for a message type that a publisher doesn't accept.
         """
         match message:
             case Subscribe():
@@ -59,7 +60,7 @@
             case RangeRequest():
                 subscription = self.subscriptions.get(message.source)
                 if subscription is not None and subscription.repairing:
-                    subscription.request = message
+                    subscription.range_request = message
             case BackendFindings():
                 return message
             case _:
@@ -68,69 +69,73 @@
                 )
         return None
 
-    def hears_failures_from(self, other: PublisherSession) -> bool:
-        """Whether the subscriber is told what another reports: both see the backends from the same zone."""
-        mine, its = self.subscriber, other.subscriber
-        if mine is None or its is None or self is other:
+    def accepts_findings_from(self, other: PublisherSession) -> bool:
+        """Whether to forward another subscriber's findings: both must have the same role and zone."""
+        own, sender = self.subscriber, other.subscriber
+        if own is None or sender is None or self is other:
             return False
-        return (mine.role, mine.zone) == (its.role, its.zone) and self.protocol >= FAILURES_SINCE
+        return (own.role, own.zone) == (sender.role, sender.zone) and self.protocol >= FINDINGS_MIN_PROTOCOL
 
     @property
     def protocol(self) -> int:
-        """The protocol that the subscriber speaks."""
+        """The subscriber's protocol version."""
         return self.subscriber.protocol if self.subscriber else 1
 
-    def lacking(self) -> list[SharedMessage]:
-        """What the subscriber is to be sent now; it counts as sent."""
-        messages = (self._next(name, subscription) for name, subscription in self.subscriptions.items())
+    def next_messages(self) -> list[SharedMessage]:
+        """Returns the messages to send now and records them as sent."""
+        messages = (
+            self._next_message(name, subscription) for name, subscription in self.subscriptions.items()
+        )
         return [message for message in messages if message is not None]
 
     def acknowledged(self) -> dict[str, Version]:
         """The newest version of each source that the subscriber has applied."""
-        return {name: subscription.acknowledged for name, subscription in self.subscriptions.items()}
+        return {name: subscription.acknowledged_version for name, subscription in self.subscriptions.items()}
 
     def _subscribe(self, held: HeldSource) -> None:
         if held.name in self._sources:
-            self.subscriptions[held.name] = Subscription(held.version, held.digest, acknowledged=held.version)
+            self.subscriptions[held.name] = Subscription(
+                held.version, held.digest, acknowledged_version=held.version
+            )
 
     def _acknowledge(self, message: Acknowledge) -> None:
         subscription = self.subscriptions.get(message.source)
         if subscription is not None:
-            subscription.acknowledged = max(subscription.acknowledged, message.version)
+            subscription.acknowledged_version = max(subscription.acknowledged_version, message.version)
 
-    def _next(self, name: str, subscription: Subscription) -> SharedMessage | None:
+    def _next_message(self, name: str, subscription: Subscription) -> SharedMessage | None:
         source = self._sources[name]
-        if subscription.request is not None:
-            return self._answer_request(source, subscription, subscription.request)
-        if subscription.repairing or source.version < subscription.sent:
+        if subscription.range_request is not None:
+            return self._answer_request(source, subscription, subscription.range_request)
+        if subscription.repairing or source.version < subscription.sent_version:
             return None
-        if source.version == subscription.sent:
-            if subscription.digest in (None, source.digests.root):
+        if source.version == subscription.sent_version:
+            if subscription.held_digest in (None, source.digests.root):
                 return None
             return self._offer_digests(source, subscription)
-        update = source.update_since(subscription.sent)
+        update = source.update_since(subscription.sent_version)
         if update is None:
             return self._offer_digests(source, subscription)
-        return self._sent(subscription, update)
+        return self._record_sent(subscription, update)
 
     def _offer_digests(self, source: PublishedSource, subscription: Subscription) -> SharedMessage:
         subscription.repairing = True
-        subscription.request = None
-        return SharedMessage(source.digests_offer())
+        subscription.range_request = None
+        return SharedMessage(source.make_digests())
 
     def _answer_request(
         self, source: PublishedSource, subscription: Subscription, request: RangeRequest
     ) -> SharedMessage:
-        update = source.ranges_update(request.version, request.ranges)
+        update = source.make_ranges_update(request.version, request.ranges)
         if update is None:
             return self._offer_digests(source, subscription)
-        return self._sent(subscription, SharedMessage(update))
+        return self._record_sent(subscription, SharedMessage(update))
 
-    def _sent(self, subscription: Subscription, shared: SharedMessage) -> SharedMessage:
+    def _record_sent(self, subscription: Subscription, shared: SharedMessage) -> SharedMessage:
         update = shared.message
         assert isinstance(update, Update)
-        subscription.sent = update.to_version
-        subscription.digest = None
+        subscription.sent_version = update.to_version
+        subscription.held_digest = None
         subscription.repairing = False
-        subscription.request = None
+        subscription.range_request = None
         return shared
--- a/src/nettledeal/distribution/subscriber.py
+++ b/src/nettledeal/distribution/subscriber.py
@@ -1,7 +1,7 @@
-"""Keeps copies of sources up to date from one core machine at a time, and moves to another when it must.
+"""Keeps local copies of sources up to date from one core machine at a time, with failover to others.
 
-A stream is left when nothing was heard on it for a while, when its publisher is behind what is held, or when
-its publisher's copy has grown old and another publisher's proves to be newer.
+A stream is replaced when it times out, when its publisher's copy is older than the local one, or when that
+copy hasn't been confirmed for too long and another publisher's copy is newer.
 """
 
 from __future__ import annotations
@@ -21,42 +21,42 @@
 from nettledeal.common.messages import FrameConnection
 from nettledeal.common.settings import Settings
 from nettledeal.distribution.protocol import CODEC, BackendFindings, DistributionMessage, Heartbeat, Version
-from nettledeal.distribution.selection import TargetChooser, looks_cut_off, looks_fresher
+from nettledeal.distribution.publisher_selection import PublisherSelector, is_fresher, is_publisher_stale
 from nettledeal.distribution.subscriber_session import SubscribedSource, SubscriberSession
 
-CONNECT_FRACTION = 0.125  # of `contact_ms`, as the next two
-SILENCE_FRACTION = 0.3
-OLD_FRACTION = 0.375
-RETURN_AFTER_S = 10.0  # to a preferred publisher, which may have been gone for a while
+CONNECT_TIMEOUT_FRACTION = 0.125  # of `contact_ms`, like the next two
+SILENCE_TIMEOUT_FRACTION = 0.3
+MAX_AGE_FRACTION = 0.375
+PREFERRED_RETRY_INTERVAL_S = 10.0  # a preferred publisher may have been down for a while
 
 OnUpdate = Callable[[str, Version, PMap], None]
 OnFindings = Callable[[BackendFindings], None]
 
 
 class Stream:
-    """A connection to one publisher with its session."""
+    """A connection to one publisher and its session."""
 
     def __init__(self, address: Address, connection: FrameConnection, session: SubscriberSession):
         self.address = address
         self.connection = connection
         self.session = session
         self.opened_at_s = time.monotonic()
-        self.left = False
-        self._sending = RLock()
+        self.closed = False
+        self._send_lock = RLock()
 
     def send(self, message: DistributionMessage) -> None:
-        """Write one message, from any greenlet; raises ServingError with CONNECTION_LOST."""
-        with self._sending:
+        """Sends one message, from any greenlet; raises ServingError with CONNECTION_LOST."""
+        with self._send_lock:
             self.connection.send(message)
 
-    def leave(self) -> None:
-        """End the stream; whoever reads from it gets CONNECTION_LOST."""
-        self.left = True
+    def close(self) -> None:
+        """Closes the stream; a greenlet that reads from it gets CONNECTION_LOST."""
+        self.closed = True
         self.connection.close()
 
 
 class Subscriber:
-    """The subscription of one process to some sources."""
+    """Subscribes one process to a set of sources."""
 
     def __init__(
         self,
@@ -73,49 +73,49 @@
         self._on_update = on_update
         self.on_findings: OnFindings = lambda findings: None
         contact_s = settings.bounds.contact_ms / 1000
-        self._connect_timeout_s = CONNECT_FRACTION * contact_s
-        self._silence_s = SILENCE_FRACTION * contact_s
-        self._old_s = OLD_FRACTION * contact_s
-        self._chooser = TargetChooser(targets, random or Random())
+        self._connect_timeout_s = CONNECT_TIMEOUT_FRACTION * contact_s
+        self._silence_timeout_s = SILENCE_TIMEOUT_FRACTION * contact_s
+        self._max_age_s = MAX_AGE_FRACTION * contact_s
+        self._selector = PublisherSelector(targets, random or Random())
         self._stream: Stream | None = None
         self._replacement: Stream | None = None
-        self._following: gevent.Greenlet | None = None
-        self._seeking: gevent.Greenlet | None = None
+        self._follow_greenlet: gevent.Greenlet | None = None
+        self._search_greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Connect and keep connected in a greenlet of its own."""
-        self._following = gevent.spawn(self._run)
+        """Starts a greenlet that connects and reconnects as needed."""
+        self._follow_greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the subscription; what is held stays."""
-        for greenlet in (self._following, self._seeking):
+        """Ends the subscription; the local copies remain available."""
+        for greenlet in (self._follow_greenlet, self._search_greenlet):
             if greenlet is not None:
                 greenlet.kill(block=False)
         for stream in (self._stream, self._replacement):
             if stream is not None:
-                stream.leave()
+                stream.close()
 
     @property
     def publisher(self) -> Address | None:
-        """The publisher whose stream is followed."""
+        """The publisher that this process is subscribed to."""
         return self._stream.address if self._stream else None
 
     def entries(self, source: str) -> PMap:
-        """The held copy of a source."""
+        """Returns the local copy of a source."""
         return self.sources[source].entries
 
     def version(self, source: str) -> Version:
-        """The held version of a source."""
+        """Returns the version of the local copy of a source."""
         return self.sources[source].version
 
     def age_s(self, source: str) -> float | None:
-        """Seconds since the held copy was known to be current; None if it never was."""
+        """Returns seconds since the local copy was known to be current; None if it never was."""
         return self.sources[source].age_s(time.monotonic())
 
-    def tell(self, findings: BackendFindings) -> None:
-        """Have the publisher tell its other subscribers of this zone; dropped if that can't be done now."""
+    def report_findings(self, findings: BackendFindings) -> None:
+        """Has the publisher forward findings to its other subscribers of this zone; best effort."""
         stream = self._stream
-        if stream is None or stream.left or not stream.session.takes_failures:
+        if stream is None or stream.closed or not stream.session.accepts_findings:
             return
         try:
             stream.send(findings)
@@ -124,29 +124,29 @@
 
     def _run(self) -> None:
         while True:
-            self._stream = self._take_replacement() or self._open_next()
+            self._stream = self._pop_replacement() or self._open_next()
             if self._stream is not None:
                 self._follow(self._stream)
                 self._stream = None
 
-    def _take_replacement(self) -> Stream | None:
+    def _pop_replacement(self) -> Stream | None:
         stream, self._replacement = self._replacement, None
         return stream
 
     def _open_next(self) -> Stream | None:
-        """A stream from the preferred publisher that did not fail lately; None after a failure."""
-        address = self._chooser.next(time.monotonic())
+        """Opens a stream to the first publisher that didn't fail recently; None after a failure."""
+        address = self._selector.next_target(time.monotonic())
         if address is not None:
             return self._open(address)
-        gevent.sleep(self._chooser.pause_s())
+        gevent.sleep(self._selector.retry_delay_s())
         return None
 
     def _open(self, address: Address) -> Stream | None:
-        """Subscribe at `address`; None if it can't be reached."""
+        """Subscribes at `address`; returns None if it can't be reached."""
         try:
-            sock = connections.connect(address, self._connect_timeout_s, self._silence_s)
+            sock = connections.connect(address, self._connect_timeout_s, self._silence_timeout_s)
         except ServingError:
-            self._chooser.failed(address, time.monotonic())
+            self._selector.record_failure(address, time.monotonic())
             return None
         connection = FrameConnection(sock, CODEC, str(address))
         settings = self._settings
@@ -155,99 +155,105 @@
             connection.send(session.open())
         except ServingError:
             connection.close()
-            self._chooser.failed(address, time.monotonic())
+            self._selector.record_failure(address, time.monotonic())
             return None
         return Stream(address, connection, session)
 
     def _follow(self, stream: Stream) -> None:
-        """Apply what the stream brings until it ends."""
+        """Processes messages from the stream until it ends."""
         try:
-            while not stream.left:
+            while not stream.closed:
                 self._receive(stream)
-                if self._wants_another(stream):
-                    self._seeking = gevent.spawn(self._find_fresher, stream)
-                elif self._may_return(stream):
-                    self._seeking = gevent.spawn(self._return, stream)
+                if self._should_search(stream):
+                    self._search_greenlet = gevent.spawn(self._find_fresher, stream)
+                elif self._should_return_to_preferred(stream):
+                    self._search_greenlet = gevent.spawn(self._return_to_preferred, stream)
         except ServingError as error:
-            if not stream.left:
-                self._chooser.failed(stream.address, time.monotonic())
+            if not stream.closed:
+                self._selector.record_failure(stream.address, time.monotonic())
                 log_event("distribution:stream_lost", publisher=str(stream.address), reason=str(error))
-        stream.leave()
+        stream.close()
 
     def _receive(self, stream: Stream) -> None:
-        message = stream.connection.receive(self._silence_s)
+        message = stream.connection.receive(self._silence_timeout_s)
         answers = stream.session.receive(message, time.monotonic())
         if isinstance(message, Heartbeat):
-            self._chooser.succeeded(stream.address)
-        changed, stream.session.changed = stream.session.changed, []
+            self._selector.record_success(stream.address)
+        changed, stream.session.changed_sources = stream.session.changed_sources, []
         for source in changed:
-            self._tell(source)
-        found, stream.session.findings = stream.session.findings, []
-        for findings in found:
+            self._notify_update(source)
+        received, stream.session.received_findings = stream.session.received_findings, []
+        for findings in received:
             self.on_findings(findings)
         for answer in answers:
             stream.send(answer)
 
-    def _tell(self, source: SubscribedSource) -> None:
-        """Pass an update on; whatever fails there must not end the subscription."""
+    def _notify_update(self, source: SubscribedSource) -> None:
+        """Calls the update callback; an exception in it must not end the subscription."""
         try:
             self._on_update(source.name, source.version, source.entries)
         except Exception as error:
             log_event("distribution:update_failed", source=source.name, reason=repr(error))
 
-    def _wants_another(self, stream: Stream) -> bool:
-        if self._seeking is not None or self._replacement is not None:
+    def _should_search(self, stream: Stream) -> bool:
+        if self._search_greenlet is not None or self._replacement is not None:
             return False
         now_s = time.monotonic()
-        if looks_cut_off(stream.session, self.sources, now_s, self._old_s):
-            return self._chooser.may_seek(now_s)
-        self._chooser.settled()
+        if is_publisher_stale(stream.session, self.sources, now_s, self._max_age_s):
+            return self._selector.should_search(now_s)
+        self._selector.reset_search_interval()
         return False
 
-    def _may_return(self, stream: Stream) -> bool:
-        """Whether a publisher that is preferred to the current one may be tried again."""
+    def _should_return_to_preferred(self, stream: Stream) -> bool:
+        """Whether to retry a publisher that is preferred to the current one."""
         now_s = time.monotonic()
-        idle = self._seeking is None and self._replacement is None
-        settled = now_s - stream.opened_at_s > RETURN_AFTER_S
-        return idle and settled and self._chooser.preferred(now_s) not in (None, stream.address)
+        no_search_running = self._search_greenlet is None and self._replacement is None
+        open_long_enough = now_s - stream.opened_at_s > PREFERRED_RETRY_INTERVAL_S
+        return (
+            no_search_running
+            and open_long_enough
+            and self._selector.preferred(now_s) not in (None, stream.address)
+        )
 
     def _find_fresher(self, stream: Stream) -> None:
-        """Subscribe at another publisher and change over if its copies are newer."""
-        address = self._chooser.alternative(stream.address, time.monotonic())
-        self._try(stream, address, lambda other: looks_fresher(other.session, stream.session))
+        """Subscribes at another publisher and switches to it if its copies are newer."""
+        address = self._selector.alternative(stream.address, time.monotonic())
+        self._try_publisher(stream, address, lambda other: is_fresher(other.session, stream.session))
 
-    def _return(self, stream: Stream) -> None:
-        """Subscribe at the preferred publisher and change over unless its copies are older."""
+    def _return_to_preferred(self, stream: Stream) -> None:
+        """Subscribes at the preferred publisher and switches to it unless its copies are older."""
         stream.opened_at_s = time.monotonic()
-        address = self._chooser.preferred(time.monotonic())
-        self._try(stream, address, lambda other: not looks_fresher(stream.session, other.session))
+        address = self._selector.preferred(time.monotonic())
+        self._try_publisher(stream, address, lambda other: not is_fresher(stream.session, other.session))
 
-    def _try(self, stream: Stream, address: Address | None, better: Callable[[Stream], bool]) -> None:
+    def _try_publisher(
+        self, stream: Stream, address: Address | None, is_better: Callable[[Stream], bool]
+    ) -> None:
         try:
             other = None if address is None else self._open(address)
             if other is not None:
-                self._change_over(stream, other, better)
+                self._switch_if_better(stream, other, is_better)
         finally:
-            self._seeking = None
+            self._search_greenlet = None
 
-    def _change_over(self, stream: Stream, other: Stream, better: Callable[[Stream], bool]) -> None:
+    def _switch_if_better(self, stream: Stream, other: Stream, is_better: Callable[[Stream], bool]) -> None:
         try:
             self._await_heartbeat(other)
         except ServingError:
-            self._chooser.failed(other.address, time.monotonic())
-            other.leave()
+            self._selector.record_failure(other.address, time.monotonic())
+            other.close()
             return
-        if self._stream is stream and not stream.left and better(other):
+        if self._stream is stream and not stream.closed and is_better(other):
             log_event("distribution:publisher_changed", before=str(stream.address), after=str(other.address))
-            self._chooser.settled()
+            self._selector.reset_search_interval()
             self._replacement = other
-            stream.leave()
+            stream.close()
         else:
-            other.leave()
+            other.close()
 
     def _await_heartbeat(self, stream: Stream) -> None:
-        """Read until the publisher has told its ages, which it does first of all."""
-        message = stream.connection.receive(self._silence_s)
+        """Reads until the first heartbeat, which the publisher sends before any update."""
+        message = stream.connection.receive(self._silence_timeout_s)
         while not isinstance(message, Heartbeat):
-            message = stream.connection.receive(self._silence_s)
+            message = stream.connection.receive(self._silence_timeout_s)
         stream.session.receive(message, time.monotonic())
--- a/src/nettledeal/distribution/subscriber_session.py
+++ b/src/nettledeal/distribution/subscriber_session.py
@@ -1,4 +1,4 @@
-"""The subscriber's side, without input or output: the copies of sources, and one stream that feeds them."""
+"""The subscriber's side of the protocol: local copies of sources and the session that updates them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from nettledeal.common.digests import RangeDigests, keys_in_ranges
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.distribution.protocol import (
-    FAILURES_SINCE,
+    FINDINGS_MIN_PROTOCOL,
     NO_VERSION,
     PROTOCOL_VERSION,
     Acknowledge,
@@ -26,21 +26,21 @@
     Update,
     UpdateScope,
     Version,
-    expanded,
+    expand_message,
 )
 
 
-class Applied(Enum):
-    """What became of an update."""
+class UpdateOutcome(Enum):
+    """Result of applying an update."""
 
     CHANGED = auto()
-    OLD = auto()  # of an older version than the one held
-    GAP = auto()  # starts from another version than the one held
-    DIFFERENT = auto()  # leads to a map other than the publisher's
+    OUTDATED = auto()  # older than the local version, or already applied
+    GAP = auto()  # it starts from a version other than the local one
+    DIGEST_MISMATCH = auto()  # the resulting map differs from the publisher's
 
 
 class SubscribedSource:
-    """A subscriber's copy of one source. Its version never goes back."""
+    """A subscriber's copy of one source; its version never decreases."""
 
     def __init__(self, name: str):
         self.name = name
@@ -49,30 +49,31 @@
         self.digests = RangeDigests()
         self.changed_keys: frozenset[str] = frozenset()  # by the last update that was applied
         self._confirmed_at_s: float | None = None
-        self._pending: tuple[Version, float] | None = None  # a confirmation of a version not yet applied
+        # A version that hasn't been applied yet, and when the publisher confirmed it.
+        self._pending_confirmation: tuple[Version, float] | None = None
 
-    def held(self) -> HeldSource:
-        """What a subscription says of this copy."""
+    def held_source(self) -> HeldSource:
+        """Returns this copy's version and digest for a subscription request."""
         return HeldSource(self.name, self.version, self.digests.root)
 
-    def apply(self, update: Update) -> Applied:
-        """Apply an update, wholly or not at all."""
+    def apply(self, update: Update) -> UpdateOutcome:
+        """Applies an update atomically: either completely or not at all."""
         if update.to_version < self.version:
-            return Applied.OLD
+            return UpdateOutcome.OUTDATED
         if update.scope is UpdateScope.KEYS and update.from_version != self.version:
-            return Applied.OLD if update.to_version == self.version else Applied.GAP
+            return UpdateOutcome.OUTDATED if update.to_version == self.version else UpdateOutcome.GAP
         removed = self._removed_by(update)
         digests = self._digests_after(update, removed)
         if digests.root != update.digest:
-            return Applied.DIFFERENT
-        self._take(update, removed)
+            return UpdateOutcome.DIGEST_MISMATCH
+        self._replace_entries(update, removed)
         self.digests = digests
-        return Applied.CHANGED
+        return UpdateOutcome.CHANGED
 
     def confirm(self, now_s: float, status: SourceStatus) -> None:
-        """Note a publisher's word on how old its copy is, unless it is behind this one.
+        """Records the age that a publisher reports for its copy, unless that copy is older than this one.
 
-        A newer copy counts once its update has been applied.
+        The age of a newer copy takes effect once its update has been applied.
         """
         if status.age_ms is None or status.version < self.version:
             return
@@ -80,7 +81,7 @@
         if status.version == self.version:
             self._confirm_at(confirmed_at_s)
         else:
-            self._pending = (status.version, confirmed_at_s)
+            self._pending_confirmation = (status.version, confirmed_at_s)
 
     def age_s(self, now_s: float) -> float | None:
         """Seconds since the copy was known to be current; None if it never was."""
@@ -111,7 +112,7 @@
             digests.change(key, self.entries.get(key), value)
         return digests
 
-    def _take(self, update: Update, removed: Iterable[str]) -> None:
+    def _replace_entries(self, update: Update, removed: Iterable[str]) -> None:
         evolver = self.entries.evolver()
         for key in removed:
             evolver.remove(key)
@@ -120,84 +121,84 @@
         self.entries = evolver.persistent()
         self.changed_keys = frozenset(update.changed).union(removed)
         self.version = update.to_version
-        if self._pending is not None and self._pending[0] <= self.version:
-            self._confirm_at(self._pending[1])
-            self._pending = None
+        if self._pending_confirmation is not None and self._pending_confirmation[0] <= self.version:
+            self._confirm_at(self._pending_confirmation[1])
+            self._pending_confirmation = None
 
 
 class SubscriberSession:
-    """One stream from one publisher."""
+    """Protocol state of the connection to one publisher."""
 
     def __init__(self, name: str, role: str, zone: str, sources: Mapping[str, SubscribedSource], peer: str):
         self.statuses: dict[str, SourceStatus] = {}
-        self.changed: list[SubscribedSource] = []  # whoever carries the session out empties it
-        self.findings: list[BackendFindings] = []  # of other agents; emptied likewise
-        self.takes_failures = False  # whether the publisher passes reports on
+        self.changed_sources: list[SubscribedSource] = []  # emptied by the session's owner
+        self.received_findings: list[BackendFindings] = []  # from other agents; emptied by the owner
+        self.accepts_findings = False  # whether the publisher forwards findings
         self._identity = (name, role, zone)
         self._sources = sources
         self._peer = peer
 
     def open(self) -> Subscribe:
-        """The message that opens the stream."""
-        return self._subscribe([source.held() for source in self._sources.values()])
+        """Returns the message that opens the subscription."""
+        return self._subscribe([source.held_source() for source in self._sources.values()])
 
     def receive(self, message: DistributionMessage, now_s: float) -> list[DistributionMessage]:
-        """Take in a message and return the answers; changed copies are added to `changed`.
+        """Processes a message and returns the replies; adds updated copies to `changed_sources`.
 
-        Raises ServingError with MALFORMED_MESSAGE for a message that has no place here.
+        Raises ServingError with MALFORMED_MESSAGE for a message type that a subscriber doesn't accept.
         """
-        message = expanded(message, self._peer)
+        message = expand_message(message, self._peer)
         match message:
             case Heartbeat():
-                self._note_statuses(message, now_s)
+                self._record_statuses(message, now_s)
                 return []
             case Update():
                 source = self._sources.get(message.source)
                 return [] if source is None else self._apply(source, message)
             case Digests():
-                return self._compare(message)
+                return self._request_differing_ranges(message)
             case BackendFindings():
-                self.findings.append(message)
+                self.received_findings.append(message)
                 return []
             case _:
                 raise self._malformed(type(message).__name__)
 
-    def behind(self) -> bool:
-        """Whether the publisher says that its copy of some source is older than the one held."""
+    def is_publisher_behind(self) -> bool:
+        """Whether the publisher reports an older version of some source than the local one."""
         return any(status.version < self._sources[name].version for name, status in self.statuses.items())
 
-    def _note_statuses(self, heartbeat: Heartbeat, now_s: float) -> None:
-        self.takes_failures = heartbeat.protocol >= FAILURES_SINCE
+    def _record_statuses(self, heartbeat: Heartbeat, now_s: float) -> None:
+        self.accepts_findings = heartbeat.protocol >= FINDINGS_MIN_PROTOCOL
         for status in heartbeat.sources:
             if status.name in self._sources:
                 self.statuses[status.name] = status
                 self._sources[status.name].confirm(now_s, status)
 
-    def _note_version(self, source: str, version: Version) -> None:
-        """Take an update as its publisher's word that it holds that version: heartbeats say so later.
+    def _record_version(self, source: str, version: Version) -> None:
+        """Raises the publisher's reported version to that of its update, before the next heartbeat does.
 
-        Without it a publisher would seem to be behind the copy that it has itself just brought up to date.
+        Otherwise a publisher would seem to be behind the copy that it has just brought up to date.
         """
         status = self.statuses.get(source)
         if status is not None and status.version < version:
             self.statuses[source] = msgspec.structs.replace(status, version=version)
 
     def _apply(self, source: SubscribedSource, update: Update) -> list[DistributionMessage]:
-        self._note_version(source.name, update.to_version)
+        self._record_version(source.name, update.to_version)
         match source.apply(update):
-            case Applied.CHANGED:
-                self.changed.append(source)
+            case UpdateOutcome.CHANGED:
+                self.changed_sources.append(source)
                 return [Acknowledge(source.name, source.version)]
-            case Applied.OLD:
+            case UpdateOutcome.OUTDATED:
                 return [Acknowledge(source.name, source.version)]
-            case Applied.GAP:
-                return [self._subscribe([source.held()])]
-            case Applied.DIFFERENT:
+            case UpdateOutcome.GAP:
+                return [self._subscribe([source.held_source()])]
+            case UpdateOutcome.DIGEST_MISMATCH:
                 if update.scope is UpdateScope.WHOLE:
                     raise self._malformed(f"whole {source.name} differs from its digest")
                 return [self._subscribe([HeldSource(source.name)])]
 
-    def _compare(self, message: Digests) -> list[DistributionMessage]:
+    def _request_differing_ranges(self, message: Digests) -> list[DistributionMessage]:
         source = self._sources.get(message.source)
         if source is None:
             return []
--- a/src/nettledeal/operator_api/redirection.py
+++ b/src/nettledeal/operator_api/redirection.py
@@ -8,7 +8,7 @@
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.common.http_server import HttpServer
 from nettledeal.common.settings import Settings
-from nettledeal.distribution.targets import CoreMachine
+from nettledeal.distribution.core_directory import CoreMachine
 from nettledeal.membership.node import MemberInfo, Role
 from nettledeal.operator_api.messages import Response, redirected, unclear
 
--- a/src/nettledeal/programs/control_plane.py
+++ b/src/nettledeal/programs/control_plane.py
@@ -14,12 +14,12 @@
 from nettledeal.common.settings import Settings
 from nettledeal.control.node import ControlNode
 from nettledeal.control.state import ControlState
-from nettledeal.discovery.reader import CatalogueReader
+from nettledeal.discovery.catalogue_reader import CatalogueReader
 from nettledeal.distribution.control_source import CATALOGUE_SOURCE, CONTROL_SOURCE, control_entries
+from nettledeal.distribution.core_directory import CORES_SOURCE, CoreMachine, core_entries
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.distribution.publisher import Publisher
-from nettledeal.distribution.source import PublishedSource
 from nettledeal.distribution.subscriber import Subscriber
-from nettledeal.distribution.targets import CORES_SOURCE, CoreMachine, core_entries
 from nettledeal.membership.node import MembershipNode, Role
 from nettledeal.operator_api.server import OperatorServer
 from nettledeal.programs.process import run_plane
--- a/src/nettledeal/programs/control_relay.py
+++ b/src/nettledeal/programs/control_relay.py
@@ -14,8 +14,8 @@
 from nettledeal.common.logs import log_event
 from nettledeal.common.settings import Settings
 from nettledeal.distribution.control_source import CONTROL_SOURCE
+from nettledeal.distribution.core_directory import CORES_SOURCE, CoreDirectory
 from nettledeal.distribution.subscriber import Subscriber
-from nettledeal.distribution.targets import CORES_SOURCE, CoreDirectory
 from nettledeal.membership.node import MembershipNode, Role
 from nettledeal.operator_api.redirection import CoreChooser, RedirectionServer
 from nettledeal.registry.server import RegistryServer
@@ -36,7 +36,7 @@
             self._apply,
         )
         self.registry = (
-            RegistryServer(settings, self.membership, awaits_configuration=True)
+            RegistryServer(settings, self.membership, requires_configuration=True)
             if settings.listen.directory
             else None
         )
@@ -69,6 +69,6 @@
 
     def _apply(self, source: str, version: tuple[int, ...], entries: PMap) -> None:
         if source == CORES_SOURCE:
-            self.directory.learn(entries)
+            self.directory.update(entries)
         elif self.registry is not None:
             self.registry.configure(entries)
--- a/src/nettledeal/programs/data_plane.py
+++ b/src/nettledeal/programs/data_plane.py
@@ -12,9 +12,9 @@
 from nettledeal.dataplane.agent import DataPlane
 from nettledeal.dataplane.selection import BackendReport
 from nettledeal.distribution.control_source import CATALOGUE_SOURCE, CONTROL_SOURCE
+from nettledeal.distribution.core_directory import CORES_SOURCE, CoreDirectory
 from nettledeal.distribution.protocol import BackendFindings
 from nettledeal.distribution.subscriber import Subscriber
-from nettledeal.distribution.targets import CORES_SOURCE, CoreDirectory
 from nettledeal.membership.node import MembershipNode, Role
 from nettledeal.programs.process import run_plane
 
@@ -76,7 +76,7 @@
             changed_keys = self.subscriber.sources[source].changed_keys
             self.data_plane.apply_catalogue(version, entries, changed_keys)
         else:
-            self.directory.learn(entries)
+            self.directory.update(entries)
 
     def _members_changed(self) -> None:
         if self._counting is None:
@@ -90,7 +90,7 @@
             self._report_due.wait()
             gevent.sleep(REPORT_PAUSE_S)
             self._report_due.clear()
-            self.subscriber.tell(_findings(self._reports.take()))
+            self.subscriber.report_findings(_findings(self._reports.take()))
 
     def _count_members(self) -> None:
         self._counting = None
--- a/src/nettledeal/programs/status_sections.py
+++ b/src/nettledeal/programs/status_sections.py
@@ -9,7 +9,7 @@
 from nettledeal.common.settings import Settings
 from nettledeal.control.node import ControlNode
 from nettledeal.control.state import ControlState
-from nettledeal.distribution.source import PublishedSource
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.operator_api.status import BudgetStatus, EpochStatus, SourceStatus
 from nettledeal.shares.roster import roster_in
 
--- a/src/nettledeal/registry/__init__.py
+++ b/src/nettledeal/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: tells clients which data-plane members to connect to."""
+"""The registry: resolves service names to the data-plane members that clients should connect to."""
--- a/src/nettledeal/registry/homes.py
+++ b/src/nettledeal/registry/home_regions.py
@@ -1,4 +1,4 @@
-"""The home regions of each host's routes, by the configuration in force."""
+"""The home regions of each host's routes in the current configuration."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from nettledeal.distribution.control_source import GENERATION_KEY, ROUTE_PREFIX, TENANT_ROUTE_PREFIX
 
-_ROUTES = (ROUTE_PREFIX, TENANT_ROUTE_PREFIX)
+_ROUTE_PREFIXES = (ROUTE_PREFIX, TENANT_ROUTE_PREFIX)
 
 
 class _HomeRoute(msgspec.Struct, frozen=True):
-    """The part of a route that matters here."""
+    """The fields of a route that determine its home regions."""
 
     hostname: str = ""
     home_regions: list[str] = []
@@ -21,39 +21,39 @@
 _DECODER = msgspec.json.Decoder(_HomeRoute)
 
 
-class RouteHomes:
-    """Tells, for a host, in which regions its routes with homes may all be served."""
+class HomeRegions:
+    """Maps a host to the regions that may serve all of its routes with home regions."""
 
     def __init__(self) -> None:
         self._generation: bytes | None = None
         self._by_host: dict[str, frozenset[str]] = {}
 
     @property
-    def known(self) -> bool:
-        """Whether a configuration has been taken over."""
+    def has_configuration(self) -> bool:
+        """Whether a configuration has been received."""
         return self._generation is not None
 
     def update(self, entries: Mapping[str, bytes]) -> bool:
-        """Take over the entries of the `control` source; whether the configuration in them is another one."""
+        """Applies the entries of the `control` source; returns whether the configuration changed."""
         generation = entries.get(GENERATION_KEY)
         if generation is None or generation == self._generation:
             return False
         self._generation = generation
-        routes = [value for key, value in entries.items() if key.startswith(_ROUTES)]
-        self._by_host = _homes_by_host([_DECODER.decode(route) for route in routes])
+        routes = [value for key, value in entries.items() if key.startswith(_ROUTE_PREFIXES)]
+        self._by_host = _home_regions_by_host([_DECODER.decode(route) for route in routes])
         return True
 
-    def of_host(self, hostname: str) -> frozenset[str] | None:
-        """The regions that are home to every route with homes at the host; None where no route has homes."""
+    def for_host(self, hostname: str) -> frozenset[str] | None:
+        """Returns the regions common to the host's routes with home regions; None if no route has any."""
         return self._by_host.get(hostname.partition(":")[0].lower())
 
 
-def _homes_by_host(routes: list[_HomeRoute]) -> dict[str, frozenset[str]]:
+def _home_regions_by_host(routes: list[_HomeRoute]) -> dict[str, frozenset[str]]:
     homes: dict[str, frozenset[str]] = {}
     for route in routes:
         if not route.home_regions:
             continue
         hostname = route.hostname.lower()
-        own = frozenset(route.home_regions)
-        homes[hostname] = homes.get(hostname, own) & own
+        route_regions = frozenset(route.home_regions)
+        homes[hostname] = homes.get(hostname, route_regions) & route_regions
     return homes
--- a/tests/system/distribution_support.py
+++ b/tests/system/distribution_support.py
@@ -51,7 +51,7 @@
 
     def send(self):
         """Let the publisher send whatever the subscriber lacks."""
-        self.down.extend(message.frame[4:] for message in self.publisher.lacking())
+        self.down.extend(message.frame[4:] for message in self.publisher.next_messages())
 
     def settle(self, now_s=0.0):
         """Deliver everything until nothing is left to say."""
--- a/tests/system/test_control_plane_program.py
+++ b/tests/system/test_control_plane_program.py
@@ -10,7 +10,7 @@
 from nettledeal.common.settings import Cloud, Listen
 from nettledeal.control.messages import EpochRecord, ReplicaInfo
 from nettledeal.control.reader_role import ReaderTerm
-from nettledeal.distribution.targets import read_cores
+from nettledeal.distribution.core_directory import read_cores
 from nettledeal.programs.control_plane import ControlPlane
 from tests.system.distribution_support import make_settings
 
--- a/tests/system/test_control_relay.py
+++ b/tests/system/test_control_relay.py
@@ -8,7 +8,13 @@
 from nettledeal.common.addresses import Address
 from nettledeal.common.settings import Bounds, Listen, Settings
 from nettledeal.distribution.control_source import GENERATION_KEY
-from nettledeal.distribution.targets import CORES_SOURCE, CoreDirectory, CoreMachine, core_entries, read_cores
+from nettledeal.distribution.core_directory import (
+    CORES_SOURCE,
+    CoreDirectory,
+    CoreMachine,
+    core_entries,
+    read_cores,
+)
 from nettledeal.membership.node import Role
 from nettledeal.operator_api.redirection import CoreChooser, RedirectionServer
 from nettledeal.programs import control_plane
@@ -96,7 +102,7 @@
 def test_publishers_are_found_through_membership_if_no_seed_has_one():
     directory = CoreDirectory(settings(), lambda: ["10.0.0.7"])
     assert directory.targets() == [Address("10.0.0.1", 7001), Address("10.0.0.7", 7001)]
-    directory.learn(core_entries({"a": core(7, "z1")}))
+    directory.update(core_entries({"a": core(7, "z1")}))
     assert directory.targets() == [Address("10.0.0.7", 7001), Address("10.0.0.1", 7001)]
 
 
--- a/tests/system/test_deployment_sizes.py
+++ b/tests/system/test_deployment_sizes.py
@@ -12,7 +12,7 @@
 from nettledeal.control.state import ControlState, PutConfiguration
 from nettledeal.distribution.control_source import CONTROL_SOURCE, control_entries
 from nettledeal.distribution.protocol import CODEC, NO_VERSION
-from nettledeal.distribution.source import PublishedSource
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.distribution.subscriber_session import SubscribedSource
 
 from . import drawn_deployment
--- a/tests/system/test_discovery_long_lists.py
+++ b/tests/system/test_discovery_long_lists.py
@@ -8,9 +8,9 @@
 
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.common.settings import Bounds, Cloud, Settings
-from nettledeal.discovery import reader as reader_module
+from nettledeal.discovery import catalogue_reader as reader_module
 from nettledeal.discovery.catalogue import Backend, BackendState, decode_backend
-from nettledeal.discovery.reader import CatalogueReader, Reading
+from nettledeal.discovery.catalogue_reader import CatalogueReader, Reading
 
 PAGE_S = 0.5
 RATE_PER_S = 20.0
--- a/tests/system/test_discovery_reader.py
+++ b/tests/system/test_discovery_reader.py
@@ -8,7 +8,7 @@
 from gevent.pywsgi import WSGIServer
 
 from nettledeal.common.settings import Bounds, Cloud, Settings
-from nettledeal.discovery.reader import IDLE_INTERVAL_S, CatalogueReader, ListClient
+from nettledeal.discovery.catalogue_reader import IDLE_INTERVAL_S, CatalogueReader, ListClient
 
 
 class PlatformList:
@@ -135,7 +135,7 @@
 
 
 def test_whoever_becomes_the_reader_reads_at_once(platform, monkeypatch):
-    monkeypatch.setattr("nettledeal.discovery.reader.IDLE_INTERVAL_S", 1000.0)
+    monkeypatch.setattr("nettledeal.discovery.catalogue_reader.IDLE_INTERVAL_S", 1000.0)
     role = FakeRole(reader="other")
     reader, source, notified = reader_of(platform, role)
     loop = reader.start()
--- a/tests/system/test_distribution_control_source.py
+++ b/tests/system/test_distribution_control_source.py
@@ -5,8 +5,8 @@
 from nettledeal.common.addresses import Address, InternalPort
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.distribution.control_source import control_entries, route_key
-from nettledeal.distribution.source import PublishedSource
-from nettledeal.distribution.targets import CoreDirectory, CoreMachine, core_entries
+from nettledeal.distribution.core_directory import CoreDirectory, CoreMachine, core_entries
+from nettledeal.distribution.published_source import PublishedSource
 from tests.system.distribution_support import make_settings
 from tests.system.operator_api_support import make_body, make_route
 
@@ -68,7 +68,7 @@
         "own": machine("10.0.1.1", "z1", "r1"),
         "seed": machine("10.0.0.1", "z3", "r2"),
     }
-    directory.learn(core_entries(machines))
+    directory.update(core_entries(machines))
     hosts = [address.host for address in directory.targets()]
     assert hosts[:2] == ["10.0.1.1", "10.0.2.1"]
     assert set(hosts[2:4]) == {"10.0.3.1", "10.0.0.1"}
@@ -80,6 +80,6 @@
     first = set()
     for number in range(60):
         directory = CoreDirectory(make_settings(node_name=f"edge-{number}", port=7000))
-        directory.learn(core_entries(machines))
+        directory.update(core_entries(machines))
         first.add(directory.targets()[0])
     assert len(first) == 4
--- a/tests/system/test_distribution_failures.py
+++ b/tests/system/test_distribution_failures.py
@@ -8,15 +8,15 @@
 from nettledeal.common.addresses import Address, InternalPort
 from nettledeal.distribution.protocol import (
     CODEC,
-    FAILURES_SINCE,
+    FINDINGS_MIN_PROTOCOL,
     PROTOCOL_VERSION,
     BackendFindings,
     Heartbeat,
     Subscribe,
 )
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.distribution.publisher import Publisher
 from nettledeal.distribution.publisher_session import PublisherSession
-from nettledeal.distribution.source import PublishedSource
 from nettledeal.distribution.subscriber import Subscriber
 from nettledeal.distribution.subscriber_session import SubscriberSession
 
@@ -54,26 +54,26 @@
 def test_a_report_is_for_the_others_of_the_zone_that_know_it():
     sender = session_of()
     assert sender.receive(REPORT) == REPORT
-    assert session_of("edge-2").hears_failures_from(sender)
-    assert not sender.hears_failures_from(sender)
-    assert not session_of("edge-3", zone="z2").hears_failures_from(sender)
-    assert not session_of("core-1", role="control-plane").hears_failures_from(sender)
-    assert not session_of("edge-4", protocol=FAILURES_SINCE - 1).hears_failures_from(sender)
-    assert not PublisherSession({}, "not subscribed yet").hears_failures_from(sender)
+    assert session_of("edge-2").accepts_findings_from(sender)
+    assert not sender.accepts_findings_from(sender)
+    assert not session_of("edge-3", zone="z2").accepts_findings_from(sender)
+    assert not session_of("core-1", role="control-plane").accepts_findings_from(sender)
+    assert not session_of("edge-4", protocol=FINDINGS_MIN_PROTOCOL - 1).accepts_findings_from(sender)
+    assert not PublisherSession({}, "not subscribed yet").accepts_findings_from(sender)
 
 
 @pytest.mark.parametrize(("protocol", "takes"), [(1, False), (2, False), (3, True), (4, True)])
 def test_reports_go_only_to_a_publisher_that_knows_them(protocol, takes):
     session = SubscriberSession("edge-1", "data-plane", "z1", {}, "core")
-    assert not session.takes_failures
+    assert not session.accepts_findings
     session.receive(Heartbeat([], protocol), 0.0)
-    assert session.takes_failures is takes
+    assert session.accepts_findings is takes
 
 
 def test_a_subscriber_collects_what_others_report():
     session = SubscriberSession("edge-1", "data-plane", "z1", {}, "core")
     assert session.receive(REPORT, 0.0) == []
-    assert session.findings == [REPORT]
+    assert session.received_findings == [REPORT]
 
 
 @pytest.fixture
@@ -103,7 +103,7 @@
     try:
         with gevent.Timeout(LIMIT_S):
             while not heard["edge-2"]:
-                subscribers["edge-1"].tell(WHOLE_REPORT)
+                subscribers["edge-1"].report_findings(WHOLE_REPORT)
                 gevent.sleep(0.005)
     finally:
         for subscriber in subscribers.values():
--- a/tests/system/test_distribution_hosts.py
+++ b/tests/system/test_distribution_hosts.py
@@ -12,8 +12,8 @@
 from nettledeal.common import connections
 from nettledeal.common.addresses import Address, InternalPort
 from nettledeal.distribution.protocol import CODEC, HeldSource, Subscribe
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.distribution.publisher import Publisher
-from nettledeal.distribution.source import PublishedSource
 from nettledeal.distribution.subscriber import Subscriber
 from tests.system.distribution_support import make_settings
 
@@ -98,7 +98,7 @@
     core.publish(2, {"a": b"2"})
     watcher.wait_for((2,))
     assert watcher.told[-1] == ("control", (2,), {"a": b"2"})
-    wait_until(lambda: core.publisher.least_acknowledged("control") == (2,))
+    wait_until(lambda: core.publisher.oldest_acknowledged("control") == (2,))
     assert core.publisher.acknowledged() == {"edge-1": {"control": (2,)}}
 
 
@@ -200,7 +200,7 @@
 
 
 def test_it_returns_to_the_publisher_it_prefers(started, monkeypatch):
-    monkeypatch.setattr("nettledeal.distribution.subscriber.RETURN_AFTER_S", 0.0)
+    monkeypatch.setattr("nettledeal.distribution.subscriber.PREFERRED_RETRY_INTERVAL_S", 0.0)
     preferred, other = make_core(started), make_core(started)
     for core in (preferred, other):
         core.publish(1, {"a": b"1"})
--- a/tests/system/test_distribution_releases.py
+++ b/tests/system/test_distribution_releases.py
@@ -19,10 +19,10 @@
     Subscribe,
     Update,
     UpdateScope,
-    expanded,
+    expand_message,
 )
+from nettledeal.distribution.published_source import PublishedSource, SharedMessage
 from nettledeal.distribution.publisher_session import PublisherSession
-from nettledeal.distribution.source import PublishedSource, SharedMessage
 from nettledeal.distribution.subscriber_session import SubscribedSource, SubscriberSession
 
 RECORDED = [
@@ -90,7 +90,7 @@
     published.publish((1,), LARGE)
     session = PublisherSession({"control": published}, "edge-1")
     session.receive(Subscribe("e", "r", "z", [HeldSource("control")], protocol=protocol))
-    return session.lacking()[0].frame_for(session.protocol)
+    return session.next_messages()[0].frame_for(session.protocol)
 
 
 def test_a_subscriber_of_release_1_gets_large_updates_as_it_reads_them():
@@ -120,7 +120,7 @@
 )
 def test_what_cannot_be_expanded_is_malformed(payload):
     with pytest.raises(ServingError) as caught:
-        expanded(Compressed(payload), "core")
+        expand_message(Compressed(payload), "core")
     assert caught.value.code is ErrorCode.MALFORMED_MESSAGE
     assert caught.value.peer == "core"
 
@@ -128,4 +128,4 @@
 def test_a_small_payload_cannot_fill_the_memory():
     bomb = zlib.compress(bytes(MAX_FRAME_BYTES + 1))
     with pytest.raises(ServingError):
-        expanded(Compressed(bomb), "core")
+        expand_message(Compressed(bomb), "core")
--- a/tests/system/test_distribution_sessions.py
+++ b/tests/system/test_distribution_sessions.py
@@ -20,9 +20,9 @@
     Update,
     UpdateScope,
 )
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.distribution.publisher_session import PublisherSession
-from nettledeal.distribution.source import PublishedSource
-from nettledeal.distribution.subscriber_session import Applied, SubscribedSource, SubscriberSession
+from nettledeal.distribution.subscriber_session import SubscribedSource, SubscriberSession, UpdateOutcome
 from tests.system.distribution_support import Link
 
 ROUTES = {f"route/{number}": b"%d" % number for number in range(500)}
@@ -230,7 +230,7 @@
     assert held.age_s(10.0) == pytest.approx(0.1)
 
 
-def play(seed):
+def run_random_schedule(seed):
     """Several publishers fed with lag, streams cut anywhere, messages in flight lost; checked throughout."""
     random = Random(seed)
     truth: list[dict[str, bytes]] = [{}]
@@ -274,47 +274,49 @@
 
 @given(st.integers(0, 2**32))
 def test_under_loss_and_change_of_publisher_versions_never_go_back_and_copies_converge(seed):
-    play(seed)
+    run_random_schedule(seed)
 
 
-def forget_digest(monkeypatch):
+def skip_digest_check(monkeypatch):
     """Updates are applied without a look at the digest, and gaps are not noticed."""
 
     def apply(self, update):
         if update.to_version < self.version:
-            return Applied.OLD
+            return UpdateOutcome.OUTDATED
         removed = self._removed_by(update)
         self.digests = self._digests_after(update, removed)
-        self._take(update, removed)
-        return Applied.CHANGED
+        self._replace_entries(update, removed)
+        return UpdateOutcome.CHANGED
 
     monkeypatch.setattr(SubscribedSource, "apply", apply)
-    monkeypatch.setattr(PublishedSource, "_changed_since", lambda self, version: set(self._changes[-1][1]))
+    monkeypatch.setattr(PublishedSource, "_changed_since", lambda self, version: set(self._change_log[-1][1]))
 
 
-def go_back(monkeypatch):
+def accept_older_maps(monkeypatch):
     """Whole maps are applied whatever their version."""
     apply = SubscribedSource.apply
 
-    def careless(self, update):
+    def apply_without_version_check(self, update):
         if update.scope is UpdateScope.WHOLE:
             self.version = ()
         return apply(self, update)
 
-    monkeypatch.setattr(SubscribedSource, "apply", careless)
-    monkeypatch.setattr(SubscribedSource, "held", lambda self: HeldSource(self.name, (), self.digests.root))
+    monkeypatch.setattr(SubscribedSource, "apply", apply_without_version_check)
+    monkeypatch.setattr(
+        SubscribedSource, "held_source", lambda self: HeldSource(self.name, (), self.digests.root)
+    )
 
 
-def forget_changes_during_repair(monkeypatch):
+def omit_changes_during_repair(monkeypatch):
     """A repair brings only the ranges that differed when it began."""
 
-    def ranges_update(self, offered, ranges):
+    def make_ranges_update(self, offered, ranges):
         content = {key: self.entries[key] for key in keys_in_ranges(self.entries, ranges)}
         return Update(
             self.name, self.version, UpdateScope.RANGES, content, self.digests.root, ranges=list(ranges)
         )
 
-    monkeypatch.setattr(PublishedSource, "ranges_update", ranges_update)
+    monkeypatch.setattr(PublishedSource, "make_ranges_update", make_ranges_update)
     monkeypatch.setattr(SubscribedSource, "_digests_after", lambda self, update, removed: AnyDigests(update))
 
 
@@ -326,17 +328,19 @@
         self.root = update.digest
 
 
-def lose_removals(monkeypatch):
+def ignore_removals(monkeypatch):
     """Keys that went are not among the removed ones."""
     monkeypatch.setattr(SubscribedSource, "_removed_by", lambda self, update: [])
 
 
-@pytest.mark.parametrize("plant", [forget_digest, go_back, forget_changes_during_repair, lose_removals])
-def test_the_schedules_find_planted_faults(monkeypatch, plant):
-    plant(monkeypatch)
+@pytest.mark.parametrize(
+    "plant_fault", [skip_digest_check, accept_older_maps, omit_changes_during_repair, ignore_removals]
+)
+def test_the_schedules_find_planted_faults(monkeypatch, plant_fault):
+    plant_fault(monkeypatch)
     with pytest.raises(AssertionError):
         for seed in range(2000):
             try:
-                play(seed)
+                run_random_schedule(seed)
             except (ServingError, KeyError) as error:
                 raise AssertionError(f"seed {seed}: {error}") from error
--- a/tests/system/test_operator_api_cores.py
+++ b/tests/system/test_operator_api_cores.py
@@ -15,8 +15,8 @@
 from nettledeal.common.settings import FaultTolerance, Listen
 from nettledeal.control.node import ControlNode
 from nettledeal.distribution.control_source import CONTROL_SOURCE, control_entries
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.distribution.publisher import Publisher
-from nettledeal.distribution.source import PublishedSource
 from nettledeal.distribution.subscriber import Subscriber
 from nettledeal.operator_api.server import OperatorServer
 from tests.system.distribution_support import make_settings
--- a/tests/system/test_operator_api_schedules.py
+++ b/tests/system/test_operator_api_schedules.py
@@ -14,7 +14,7 @@
 from nettledeal.control import decisions as decisions_module
 from nettledeal.control.state import Outcome
 from nettledeal.distribution.control_source import control_entries
-from nettledeal.distribution.source import PublishedSource
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.operator_api import api as api_module
 from nettledeal.operator_api.api import OperatorApi
 from nettledeal.operator_api.messages import Request
--- a/tests/system/test_registry_answers.py
+++ b/tests/system/test_registry_answers.py
@@ -12,8 +12,16 @@
 from nettledeal.distribution.control_source import control_entries
 from nettledeal.membership.node import MemberInfo
 from nettledeal.membership.zone_suspicion import suspect_zones
-from nettledeal.registry.answers import FAR_TTL_S, MAX_ADDRESSES, SHORT_TTL_S, Answers, Place, choose, nearest
-from nettledeal.registry.leaving import LeavingMembers
+from nettledeal.registry.leaving_members import LeavingMembers
+from nettledeal.registry.resolve_responses import (
+    DIRECTORY_LOST_TTL_S,
+    MAX_ADDRESSES,
+    SHORT_TTL_S,
+    ClientLocation,
+    ResolveResponses,
+    nearest_members,
+    select_members,
+)
 from nettledeal.registry.server import RegistryServer
 
 REGIONS = {"z1": "r1", "z2": "r1", "z3": "r2"}
@@ -32,13 +40,16 @@
     )
 
 
-def doubted(members):
-    sound = [member.zone for member in members if not member.suspected]
-    return suspect_zones(sound, [member.zone for member in members if member.suspected])
+def suspected_zones(members):
+    unsuspected = [member.zone for member in members if not member.suspected]
+    return suspect_zones(unsuspected, [member.zone for member in members if member.suspected])
 
 
 def numbers(members, region="r1", zone="z1"):
-    return [int(member.name[1:]) for member in nearest(members, Place(region, zone), doubted(members))]
+    return [
+        int(member.name[1:])
+        for member in nearest_members(members, ClientLocation(region, zone), suspected_zones(members))
+    ]
 
 
 def test_the_own_zone_serves_its_clients_where_it_has_enough():
@@ -104,7 +115,7 @@
 
 def test_a_single_suspected_member_speaks_against_no_zone():
     members = [edge(1, suspected=True), edge(2), *(edge(n, "z2") for n in range(3, 7))]
-    assert doubted(members) == frozenset()
+    assert suspected_zones(members) == frozenset()
 
 
 def test_members_that_were_found_dead_speak_against_their_zone_as_suspected_ones_do():
@@ -113,14 +124,14 @@
 
 
 def told(members, client):
-    return json.loads(Answers(1.0).body(members, Place("r1", "z1"), client))["addresses"]
+    return json.loads(ResolveResponses(1.0).body(members, ClientLocation("r1", "z1"), client))["addresses"]
 
 
 def test_of_more_members_than_fit_clients_are_told_different_ones():
     members = [edge(n) for n in range(100)]
-    answers = [told(members, f"10.0.0.{n}") for n in range(1000)]
-    assert all(len(set(answer)) == MAX_ADDRESSES for answer in answers)
-    counts = Counter(address for answer in answers for address in answer)
+    responses = [told(members, f"10.0.0.{n}") for n in range(1000)]
+    assert all(len(set(answer)) == MAX_ADDRESSES for answer in responses)
+    counts = Counter(address for answer in responses for address in answer)
     assert len(counts) == 100
     assert max(counts.values()) < 2 * min(counts.values())
 
@@ -138,13 +149,13 @@
     def __init__(self):
         self.on_change = []
         self.listed = []
-        self.doubted = frozenset()
+        self.suspected_zones = frozenset()
 
     def members(self):
         return self.listed
 
     def suspect_zones(self):
-        return self.doubted
+        return self.suspected_zones
 
 
 def ask(server, path="/resolve", query="name=h&region=r1&zone=z1", method="GET"):
@@ -158,7 +169,7 @@
     return seen
 
 
-def registry(awaits_configuration=False):
+def registry(requires_configuration=False):
     membership = FakeMembership()
     settings = Settings(
         "c",
@@ -173,7 +184,7 @@
         REGIONS,
         listen=Listen(directory="127.0.0.1:1"),
     )
-    return RegistryServer(settings, membership, awaits_configuration), membership
+    return RegistryServer(settings, membership, requires_configuration), membership
 
 
 def test_an_answer_follows_each_change_of_the_view():
@@ -195,7 +206,7 @@
     server, membership = registry()
     membership.listed = [edge(1), edge(2), edge(3, "z2"), edge(4, "z2")]
     assert sorted(json.loads(ask(server).body)["addresses"]) == ["h:1", "h:2"]
-    membership.doubted = frozenset({"z1"})
+    membership.suspected_zones = frozenset({"z1"})
     for callback in membership.on_change:
         callback()
     assert sorted(json.loads(ask(server).body)["addresses"]) == ["h:3", "h:4"]
@@ -214,8 +225,8 @@
 
 
 def chosen(members, homes, region="r1", zone="z1"):
-    choice = choose(members, Place(region, zone, frozenset(homes)))
-    return sorted(int(member.name[1:]) for member in choice.members), choice.lasting
+    selection = select_members(members, ClientLocation(region, zone, frozenset(homes)))
+    return sorted(int(member.name[1:]) for member in selection.members), selection.cacheable
 
 
 def test_routes_with_homes_stay_in_a_region_of_which_one_member_is_left():
@@ -232,7 +243,7 @@
 def test_while_all_members_inside_the_homes_are_leaving_they_are_told_for_a_short_time():
     members = [edge(n, leaving=True, ready=False) for n in (1, 2)] + [edge(5, "z3"), edge(6, "z3")]
     assert chosen(members, {"r1"}) == ([1, 2], False)
-    body = Answers(2.0).body(members, Place("r1", "z1", frozenset({"r1"})))
+    body = ResolveResponses(2.0).body(members, ClientLocation("r1", "z1", frozenset({"r1"})))
     assert json.loads(body)["ttl_s"] == SHORT_TTL_S
 
 
@@ -271,7 +282,7 @@
 
 
 def test_where_the_configuration_is_awaited_nothing_is_told_before_its_homes_are_known():
-    server, membership = registry(awaits_configuration=True)
+    server, membership = registry(requires_configuration=True)
     membership.listed = [edge(1), edge(5, "z3"), edge(6, "z3")]
     assert ask(server).status.startswith("503")
     server.configure(configured(1, {"hostname": "h", "home_regions": ["r1"]}))
@@ -291,28 +302,28 @@
     usual = lifetime(far)  # none was there that is gone
     assert lifetime(near, far) == usual
     suspected = edge(8, role="relay", suspected=True)
-    assert lifetime(suspected, far) == FAR_TTL_S > usual
-    assert lifetime(far) == FAR_TTL_S
+    assert lifetime(suspected, far) == DIRECTORY_LOST_TTL_S > usual
+    assert lifetime(far) == DIRECTORY_LOST_TTL_S
     assert lifetime(near, far) == usual
 
 
 def test_a_member_is_told_for_a_part_of_the_time_in_which_it_expects_clients():
     leaving, staying = edge(1, leaving=True, ready=False), edge(2)
-    members = LeavingMembers(arrivals_s=3.0)
-    members.note([leaving, staying], 10.0)
-    assert list(members.without_late([leaving, staying], 11.1)) == [leaving, staying]
-    members.note([leaving, staying], 11.1)  # another change of the view
-    assert list(members.without_late([leaving, staying], 11.3)) == [staying]
+    members = LeavingMembers(arrival_window_s=3.0)
+    members.update([leaving, staying], 10.0)
+    assert list(members.without_expired([leaving, staying], 11.1)) == [leaving, staying]
+    members.update([leaving, staying], 11.1)  # another change of the view
+    assert list(members.without_expired([leaving, staying], 11.3)) == [staying]
     # Whoever is told last keeps the answer for three of its lifetimes, and comes before the arrivals end.
     assert 1.2 + 3 * SHORT_TTL_S < 3.0
-    members.note([staying], 12.0)
-    members.note([leaving], 20.0)
-    assert list(members.without_late([leaving], 20.5)) == [leaving]
+    members.update([staying], 12.0)
+    members.update([leaving], 20.0)
+    assert list(members.without_expired([leaving], 20.5)) == [leaving]
 
 
 def test_an_answer_that_names_leaving_members_is_worked_out_anew():
-    answers = Answers(2.0)
-    place = Place("r1", "z1", frozenset({"r1"}))
+    responses = ResolveResponses(2.0)
+    location = ClientLocation("r1", "z1", frozenset({"r1"}))
     leaving = edge(1, leaving=True, ready=False)
-    assert json.loads(answers.body([leaving], place))["addresses"] == ["h:1"]
-    assert json.loads(answers.body([edge(5, "z3"), edge(6, "z3")], place))["addresses"] == ["h:5", "h:6"]
+    assert json.loads(responses.body([leaving], location))["addresses"] == ["h:1"]
+    assert json.loads(responses.body([edge(5, "z3"), edge(6, "z3")], location))["addresses"] == ["h:5", "h:6"]
