--- a/tests/system/test_control_relay.py
+++ b/tests/system/test_control_relay.py
@@ -125,7 +125,7 @@
     assert [machine.host for machine in relay.directory.cores()] == ["10.0.0.2"]
     route = b'{"hostname":"h","path_prefix":"/","home_regions":["r1"]}'
     relay._apply("control", (4,), {GENERATION_KEY: b"7", "route/h /": route})
-    assert relay.registry._homes.of_host("h") == {"r1"}
+    assert relay.registry._home_regions.for_host("h") == {"r1"}
 
 
 def test_the_processes_of_one_machine_are_members_with_different_names():
