--- a/src/nettledeal/standins/backend.py
+++ b/src/nettledeal/standins/backend.py
@@ -41,7 +41,7 @@
     request_id: str
     path: str
     prompt_tokens: int
-    kept_tokens: int
+    cached_tokens: int
 
 
 class StandInBackend(HttpServer):
@@ -49,24 +49,24 @@
 
     def __init__(
         self,
-        listed: Backend,
+        catalogue_entry: Backend,
         address: Address,
         speed: EngineSpeed,
         cache_tokens: int = 0,
-        queue: int = 16,
+        queue_limit: int = 16,
         tenant_of: Callable[[str], str] | None = None,
     ):
         """With `tenant_of`, which tells a request's tenant by its id, it records who put and found what."""
-        self.listed = listed
+        self.catalogue_entry = catalogue_entry
         self.runs: list[Run] = []
         self.on_run: Callable[[Run], None] = lambda run: None
         super().__init__(address, self._serve)
         self._speed = speed
         self._tenant_of = tenant_of
         self._cache = PrefixCache(cache_tokens) if tenant_of is None else RecordingCache(cache_tokens)
-        self._slots = BoundedSemaphore(listed.capacity)
-        self._queue = queue
-        self._held = 0
+        self._slots = BoundedSemaphore(catalogue_entry.capacity)
+        self._queue_limit = queue_limit
+        self._accepted_requests = 0
 
     @property
     def lookups(self) -> list[Lookup]:
@@ -76,7 +76,7 @@
     @property
     def running(self) -> int:
         """Requests in a slot."""
-        return min(self._held, self.listed.capacity)
+        return min(self._accepted_requests, self.catalogue_entry.capacity)
 
     def _serve(self, environ: dict, start_response: Callable) -> Iterator[bytes] | list[bytes]:
         """The WSGI application."""
@@ -87,49 +87,54 @@
             return self._report(start_response)
         environ["wsgi.input"].read()
         request_id = environ.get("HTTP_REQUEST_ID", "")
-        refusal = self._refusal(environ, request_id)
-        if refusal is not None:
-            start_response(_line(refusal), [("Not-Executed", "1"), ("Request-Id", request_id)])
+        rejection = self._rejection_status(environ, request_id)
+        if rejection is not None:
+            start_response(_status_line(rejection), [("Not-Executed", "1"), ("Request-Id", request_id)])
             return []
         return self._run(environ, request_id, start_response)
 
-    def _refusal(self, environ: dict, request_id: str) -> HTTPStatus | None:
+    def _rejection_status(self, environ: dict, request_id: str) -> HTTPStatus | None:
         """Why the request is not run; None where it is."""
         if not request_id:
             return HTTPStatus.BAD_REQUEST
-        if environ.get("HTTP_EXPECT_INSTANCE", self.listed.id) != self.listed.id:
+        if environ.get("HTTP_EXPECT_INSTANCE", self.catalogue_entry.id) != self.catalogue_entry.id:
             return HTTPStatus.MISDIRECTED_REQUEST
-        if self._held >= self.listed.capacity + self._queue:
+        if self._accepted_requests >= self.catalogue_entry.capacity + self._queue_limit:
             return HTTPStatus.SERVICE_UNAVAILABLE
         return None
 
     def _run(self, environ: dict, request_id: str, start_response: Callable) -> Iterator[bytes]:
-        self._held += 1
+        self._accepted_requests += 1
         try:
             with self._slots:
                 run = self._read_prompt(environ, request_id)
-                headers = [("Request-Id", request_id), ("Server-Signature", sign(self.listed.id, request_id))]
+                headers = [
+                    ("Request-Id", request_id),
+                    ("Server-Signature", sign(self.catalogue_entry.id, request_id)),
+                ]
                 if "HTTP_TOKEN_USAGE" in environ:
-                    start_response(_line(HTTPStatus.OK), [*headers, ("Content-Type", EVENT_STREAM)])
+                    start_response(_status_line(HTTPStatus.OK), [*headers, ("Content-Type", EVENT_STREAM)])
                     yield from self._events(environ, run)
                 else:
                     gevent.sleep(self._speed.plain_answer_s)
-                    body = plain_body(self.listed.id, request_id)
-                    start_response(_line(HTTPStatus.OK), [*headers, ("Content-Length", str(len(body)))])
+                    body = plain_body(self.catalogue_entry.id, request_id)
+                    start_response(
+                        _status_line(HTTPStatus.OK), [*headers, ("Content-Length", str(len(body)))]
+                    )
                     yield body
         finally:
-            self._held -= 1
+            self._accepted_requests -= 1
 
     def _read_prompt(self, environ: dict, request_id: str) -> Run:
         parts = parse_prompt(environ.get("HTTP_PROMPT_PREFIX", ""))
         if isinstance(self._cache, RecordingCache):
-            kept = self._cache.read_for(self._tenant_of(request_id), parts)
+            cached_tokens = self._cache.prefill_for(self._tenant_of(request_id), parts)
         else:
-            kept = self._cache.read(parts)
-        run = Run(request_id, environ["PATH_INFO"], sum(part.tokens for part in parts), kept)
+            cached_tokens = self._cache.prefill(parts)
+        run = Run(request_id, environ["PATH_INFO"], sum(part.tokens for part in parts), cached_tokens)
         self.runs.append(run)
         self.on_run(run)
-        gevent.sleep(self._speed.prefill_s(run.prompt_tokens - kept))
+        gevent.sleep(self._speed.prefill_s(run.prompt_tokens - cached_tokens))
         return run
 
     def _events(self, environ: dict, run: Run) -> Iterator[bytes]:
@@ -140,23 +145,25 @@
             gevent.sleep(self._speed.event_interval_s)
 
     def _health(self, start_response: Callable) -> list[bytes]:
-        draining = self.listed.state is BackendState.DRAINING
+        draining = self.catalogue_entry.state is BackendState.DRAINING
         status = HTTPStatus.SERVICE_UNAVAILABLE if draining else HTTPStatus.OK
-        start_response(_line(status), [("Instance-Id", self.listed.id), ("Content-Length", "0")])
+        start_response(
+            _status_line(status), [("Instance-Id", self.catalogue_entry.id), ("Content-Length", "0")]
+        )
         return []
 
     def _report(self, start_response: Callable) -> list[bytes]:
         report = BackendReport(
-            stage=self.listed.stage or "",
-            models=self.listed.models,
-            queued=self._held - self.running,
+            stage=self.catalogue_entry.stage or "",
+            models=self.catalogue_entry.models,
+            queued=self._accepted_requests - self.running,
             running=self.running,
             kv_used=self._cache.used_tokens,
             kv_total=self._cache.capacity_tokens,
         )
         body = msgspec.json.encode(report)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        start_response(_line(HTTPStatus.OK), headers)
+        start_response(_status_line(HTTPStatus.OK), headers)
         return [body]
 
 
@@ -189,5 +196,5 @@
     return f"id: {number}\ndata: {request_id} {number}/{last}\n\n".encode()
 
 
-def _line(status: HTTPStatus) -> str:
+def _status_line(status: HTTPStatus) -> str:
     return f"{status.value} {status.phrase}"
--- a/src/nettledeal/standins/checks.py
+++ b/src/nettledeal/standins/checks.py
@@ -37,7 +37,7 @@
     for backend in backends:
         for run in backend.runs:
             if run.request_id not in sent:
-                yield f"unasked: {backend.listed.id} ran {run.request_id}"
+                yield f"unasked: {backend.catalogue_entry.id} ran {run.request_id}"
 
 
 def _repeated_runs(backends: list[StandInBackend], kinds: list[RequestKind]) -> Iterator[str]:
--- a/src/nettledeal/standins/clients.py
+++ b/src/nettledeal/standins/clients.py
@@ -18,9 +18,9 @@
 from nettledeal.standins.layout import Zone
 
 RESOLVE_TIMEOUT_S = 1.0
-ANSWER_KEPT_S = 1.0
-FIRST_PAUSE_S = 0.1
-PROMISES = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
+MAX_RESOLVED_AGE_S = 1.0
+INITIAL_BACKOFF_S = 0.1
+RETRYABLE_STATUSES = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,35 +90,37 @@
     zone: Zone
     directories: list[Address]
     random: Random
-    known: list[Address] = field(default_factory=list)
-    known_until_s: float = 0.0
+    addresses: list[Address] = field(default_factory=list)
+    addresses_expire_at_s: float = 0.0
     sent: list[str] = field(default_factory=list)
 
     def resolve(self, host: str) -> list[Address]:
         """The data planes for this client; an old answer is kept where no new one is to be had."""
-        if time.monotonic() >= self.known_until_s:
+        if time.monotonic() >= self.addresses_expire_at_s:
             for directory in self.random.sample(self.directories, len(self.directories)):
                 if (answer := self._ask_directory(directory, host)) is not None:
-                    self.known = [parse_address(address) for address in answer.addresses]
-                    self.known_until_s = time.monotonic() + min(answer.ttl_s, ANSWER_KEPT_S)
+                    self.addresses = [parse_address(address) for address in answer.addresses]
+                    self.addresses_expire_at_s = time.monotonic() + min(answer.ttl_s, MAX_RESOLVED_AGE_S)
                     break
-        return self.known
+        return self.addresses
 
     def ask(self, kind: RequestKind, subject: int = 0) -> Outcome:
         """Send a request, and again as far as the answers allow it, until its deadline."""
         started_s = time.monotonic()
-        pause_s = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         attempts = 0
         while True:
             attempts += 1
-            outcome, pause_told_s = self._attempt(kind, subject, started_s)
+            outcome, retry_after_s = self._attempt(kind, subject, started_s)
             outcome.attempts = attempts
             outcome.total_s = time.monotonic() - started_s
-            again = outcome.ending is Ending.REFUSED or (outcome.ending is Ending.LOST and kind.repeatable)
-            pause_s = pause_told_s or pause_s * 1.5
-            if not again or outcome.total_s + pause_s > kind.deadline_s:
+            should_retry = outcome.ending is Ending.REFUSED or (
+                outcome.ending is Ending.LOST and kind.repeatable
+            )
+            backoff_s = retry_after_s or backoff_s * 1.5
+            if not should_retry or outcome.total_s + backoff_s > kind.deadline_s:
                 return outcome
-            gevent.sleep(pause_s)
+            gevent.sleep(backoff_s)
 
     def _ask_directory(self, directory: Address, host: str) -> Resolved | None:
         client = HttpClient(directory)
@@ -149,30 +151,30 @@
             return Outcome(kind.name, Ending.LOST, 0, detail=str(error)), None
         finally:
             client.close()
-        return _judge(kind, request_id, response, started_s)
+        return _check_response(kind, request_id, response, started_s)
 
     def _avoid(self, address: Address) -> None:
-        self.known = [other for other in self.known if other != address]
-        self.known_until_s = 0.0
+        self.addresses = [other for other in self.addresses if other != address]
+        self.addresses_expire_at_s = 0.0
 
 
-def _judge(
+def _check_response(
     kind: RequestKind, request_id: str, response: HttpResponse, started_s: float
 ) -> tuple[Outcome, float | None]:
     outcome = Outcome(kind.name, Ending.SERVED, 0)
     if response.body_started_at_s is not None:
         outcome.first_part_s = response.body_started_at_s - started_s
-    if response.status in PROMISES:
+    if response.status in RETRYABLE_STATUSES:
         outcome.ending = Ending.REFUSED
-        return outcome, float(response.headers.get("retry-after", FIRST_PAUSE_S))
+        return outcome, float(response.headers.get("retry-after", INITIAL_BACKOFF_S))
     if response.status != HTTPStatus.OK:
         outcome.ending, outcome.detail = Ending.FAILED, f"status {response.status}"
-    elif not _is_whole(kind, request_id, response):
+    elif not _is_complete(kind, request_id, response):
         outcome.ending, outcome.detail = Ending.WRONG, f"{request_id}: {response.body[:80]!r}"
     return outcome, None
 
 
-def _is_whole(kind: RequestKind, request_id: str, response: HttpResponse) -> bool:
+def _is_complete(kind: RequestKind, request_id: str, response: HttpResponse) -> bool:
     """Whether the answer is one backend's to this request, from its first byte to its last."""
     signature = response.headers.get("server-signature")
     if response.headers.get("request-id") != request_id or signature is None:
--- a/src/nettledeal/standins/demonstration.py
+++ b/src/nettledeal/standins/demonstration.py
@@ -111,7 +111,9 @@
         return self._runs_in(zone) == before
 
     def _runs_in(self, zone: Zone) -> int:
-        return sum(len(backend.runs) for backend in self.system.backends if backend.listed.zone == zone)
+        return sum(
+            len(backend.runs) for backend in self.system.backends if backend.catalogue_entry.zone == zone
+        )
 
     def _say(self, text: str) -> None:
         print(f"{time.monotonic() - self._started_s:6.1f} s  {text}", flush=True)
@@ -141,9 +143,15 @@
         table = Table("backend", "zone", "runs", "prompt tokens", "of these kept")
         for backend in self.system.backends:
             tokens = sum(run.prompt_tokens for run in backend.runs)
-            kept = sum(run.kept_tokens for run in backend.runs)
+            kept = sum(run.cached_tokens for run in backend.runs)
             share = f"{100 * kept / tokens:.0f}%" if tokens else "-"
-            table.add(backend.listed.id, backend.listed.zone, str(len(backend.runs)), str(tokens), share)
+            table.add(
+                backend.catalogue_entry.id,
+                backend.catalogue_entry.zone,
+                str(len(backend.runs)),
+                str(tokens),
+                share,
+            )
         return table.render()
 
 
--- a/src/nettledeal/standins/layout.py
+++ b/src/nettledeal/standins/layout.py
@@ -61,7 +61,7 @@
         return f"{self.prefix}.{number}"
 
 
-class Machines(StrEnum):
+class MachineClass(StrEnum):
     """Classes of machines and the roles that they run."""
 
     CORE = "control-plane"
@@ -106,7 +106,9 @@
         listen = Listen(
             control_plane=f"{host}:{int(Port.CONTROL_PLANE)}", directory=f"{host}:{int(Port.DIRECTORY)}"
         )
-        settings = self._settings(f"core-{number + 1}", Machines.CORE, host, zone or _zone_of(number), listen)
+        settings = self._settings(
+            f"core-{number + 1}", MachineClass.CORE, host, zone or _zone_of(number), listen
+        )
         return msgspec.structs.replace(
             settings, bootstrap=bootstrap, counts_for_quorum=True, data_dir=str(folder / settings.node_name)
         )
@@ -115,18 +117,18 @@
         """The settings of an edge machine."""
         host = self.network.host(51 + number)
         listen = Listen(frontend=f"{host}:{int(Port.FRONTEND)}", readiness=f"{host}:{int(Port.READINESS)}")
-        return self._settings(f"edge-{number + 1}", Machines.EDGE, host, _zone_of(number), listen)
+        return self._settings(f"edge-{number + 1}", MachineClass.EDGE, host, _zone_of(number), listen)
 
     def core_host(self, number: int) -> str:
         """The address of a core machine."""
         return self.network.host(11 + number)
 
-    def _settings(self, name: str, role: Machines, host: str, zone: Zone, listen: Listen) -> Settings:
+    def _settings(self, name: str, role: MachineClass, host: str, zone: Zone, listen: Listen) -> Settings:
         return Settings(
             node_name=name,
             role=str(role),
-            machine_class="core" if role is Machines.CORE else "edge",
-            serves=["control_plane", "registry"] if role is Machines.CORE else ["edge"],
+            machine_class="core" if role is MachineClass.CORE else "edge",
+            serves=["control_plane", "registry"] if role is MachineClass.CORE else ["edge"],
             ip=host,
             zone=str(zone),
             region=zone.region,
--- a/src/nettledeal/standins/prefix_cache.py
+++ b/src/nettledeal/standins/prefix_cache.py
@@ -32,32 +32,32 @@
     def __init__(self, capacity_tokens: int):
         self.capacity_tokens = capacity_tokens
         self.used_tokens = 0
-        self._kept: OrderedDict[tuple[str, ...], int] = OrderedDict()
+        self._tokens_by_path: OrderedDict[tuple[str, ...], int] = OrderedDict()
 
-    def read(self, parts: list[PromptPart]) -> int:
+    def prefill(self, parts: list[PromptPart]) -> int:
         """Read a prompt: returns how many tokens of it were kept, and keeps all of its parts."""
-        found = 0
-        whole_so_far = True
+        hit_tokens = 0
+        prefix_cached = True
         path: tuple[str, ...] = ()
         for part in parts:
             path = (*path, part.id)
-            whole_so_far = whole_so_far and path in self._kept
-            if whole_so_far:
-                found += part.tokens
+            prefix_cached = prefix_cached and path in self._tokens_by_path
+            if prefix_cached:
+                hit_tokens += part.tokens
             self._keep(path, part.tokens)
-        return found
+        return hit_tokens
 
     def _keep(self, path: tuple[str, ...], tokens: int) -> None:
-        if path not in self._kept:
-            self._kept[path] = tokens
+        if path not in self._tokens_by_path:
+            self._tokens_by_path[path] = tokens
             self.used_tokens += tokens
-        self._kept.move_to_end(path)
+        self._tokens_by_path.move_to_end(path)
         while self.used_tokens > self.capacity_tokens:
-            self._give_up()
+            self._evict()
 
-    def _give_up(self) -> None:
-        _, given_up = self._kept.popitem(last=False)
-        self.used_tokens -= given_up
+    def _evict(self) -> None:
+        _, evicted_tokens = self._tokens_by_path.popitem(last=False)
+        self.used_tokens -= evicted_tokens
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +66,8 @@
 
     tenant: str
     shared_tokens: int
-    found_own: int
-    found_across: int
+    own_hit_tokens: int
+    cross_tenant_hit_tokens: int
 
 
 class RecordingCache(PrefixCache):
@@ -76,38 +76,38 @@
     def __init__(self, capacity_tokens: int):
         super().__init__(capacity_tokens)
         self.lookups: list[Lookup] = []
-        self._put_by: dict[tuple[str, ...], set[str]] = {}
+        self._tenants_by_path: dict[tuple[str, ...], set[str]] = {}
 
-    def read_for(self, tenant: str, parts: list[PromptPart]) -> int:
+    def prefill_for(self, tenant: str, parts: list[PromptPart]) -> int:
         """Read a tenant's prompt as `read` does, and record what was found whose."""
-        found_own = found_across = 0
+        own_hit_tokens = cross_tenant_hit_tokens = 0
         path: tuple[str, ...] = ()
         for part in parts[:-1]:
             path = (*path, part.id)
-            if path not in self._kept:
+            if path not in self._tokens_by_path:
                 break
-            if tenant in self._put_by[path]:
-                found_own += part.tokens
+            if tenant in self._tenants_by_path[path]:
+                own_hit_tokens += part.tokens
             else:
-                found_across += part.tokens
-        found = self.read(parts)
-        self._record_putter(tenant, parts)
+                cross_tenant_hit_tokens += part.tokens
+        hit_tokens = self.prefill(parts)
+        self._record_tenant(tenant, parts)
         shared = sum(part.tokens for part in parts[:-1])
-        self.lookups.append(Lookup(tenant, shared, found_own, found_across))
-        return found
+        self.lookups.append(Lookup(tenant, shared, own_hit_tokens, cross_tenant_hit_tokens))
+        return hit_tokens
 
-    def put_by(self) -> Iterator[tuple[tuple[str, ...], set[str]]]:
+    def tenants_by_path(self) -> Iterator[tuple[tuple[str, ...], set[str]]]:
         """What is kept, each part with those before it, and the tenants that have put it."""
-        return iter(self._put_by.items())
+        return iter(self._tenants_by_path.items())
 
-    def _record_putter(self, tenant: str, parts: list[PromptPart]) -> None:
+    def _record_tenant(self, tenant: str, parts: list[PromptPart]) -> None:
         path: tuple[str, ...] = ()
         for part in parts:
             path = (*path, part.id)
-            if path in self._kept:
-                self._put_by.setdefault(path, set()).add(tenant)
+            if path in self._tokens_by_path:
+                self._tenants_by_path.setdefault(path, set()).add(tenant)
 
-    def _give_up(self) -> None:
-        path, given_up = self._kept.popitem(last=False)
-        self.used_tokens -= given_up
-        self._put_by.pop(path, None)
+    def _evict(self) -> None:
+        path, evicted_tokens = self._tokens_by_path.popitem(last=False)
+        self.used_tokens -= evicted_tokens
+        self._tenants_by_path.pop(path, None)
--- a/src/nettledeal/standins/processes.py
+++ b/src/nettledeal/standins/processes.py
@@ -19,8 +19,8 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 PROGRAM = ROOT / "src" / "nettledeal_system.py"
-PAUSE_S = 0.05
-LINES_KEPT = 2000
+POLL_INTERVAL_S = 0.05
+MAX_LOG_LINES = 2000
 
 LogEvent = Mapping[str, object]
 
@@ -31,7 +31,7 @@
     while not condition():
         if time.monotonic() > deadline:
             raise ServingError(ErrorCode.TIMED_OUT, f"wait until {what}")
-        gevent.sleep(PAUSE_S)
+        gevent.sleep(POLL_INTERVAL_S)
 
 
 class SystemProcess:
@@ -45,8 +45,8 @@
         self.events: list[LogEvent] = []
         self.other_lines: list[str] = []
         self._process: subprocess.Popen | None = None
-        self._heard = Event()
-        self._reading: gevent.Greenlet | None = None
+        self._log_changed = Event()
+        self._reader: gevent.Greenlet | None = None
 
     @property
     def running(self) -> bool:
@@ -65,7 +65,7 @@
             stdout=subprocess.DEVNULL,
             stderr=subprocess.PIPE,
         )
-        self._reading = gevent.spawn(self._read, self._process.stderr)
+        self._reader = gevent.spawn(self._read_log, self._process.stderr)
 
     def wait_for(
         self, message_type: str, within_s: float, matches: Callable[[LogEvent], bool] = lambda event: True
@@ -73,7 +73,7 @@
         """The first event of that kind in the log; raises ServingError where it does not come in time."""
         deadline = time.monotonic() + within_s
         while True:
-            self._heard.clear()
+            self._log_changed.clear()
             for event in self.events:
                 if event.get("message_type") == message_type and matches(event):
                     return event
@@ -84,7 +84,7 @@
                 raise ServingError(
                     ErrorCode.TIMED_OUT, f"wait for {message_type}", f"the process {state} {lines}", self.name
                 )
-            self._heard.wait(remaining_s)
+            self._log_changed.wait(remaining_s)
 
     def kill(self) -> None:
         """End it without warning."""
@@ -116,16 +116,16 @@
         if self.running:
             self._process.send_signal(number)
 
-    def _read(self, log) -> None:
+    def _read_log(self, log) -> None:
         with log:
             for line in log:
-                self._take(line.decode(errors="replace").rstrip())
-        self._heard.set()
+                self._add_line(line.decode(errors="replace").rstrip())
+        self._log_changed.set()
 
-    def _take(self, line: str) -> None:
+    def _add_line(self, line: str) -> None:
         try:
             self.events.append(msgspec.json.decode(line, type=dict[str, object]))
         except msgspec.MsgspecError:
             self.other_lines.append(line)
-        del self.events[:-LINES_KEPT], self.other_lines[:-LINES_KEPT]
-        self._heard.set()
+        del self.events[:-MAX_LOG_LINES], self.other_lines[:-MAX_LOG_LINES]
+        self._log_changed.set()
--- a/src/nettledeal/standins/scenario.py
+++ b/src/nettledeal/standins/scenario.py
@@ -60,7 +60,7 @@
 def _backend(layout: Layout, number: int, service: str, zone: Zone, speed: EngineSpeed) -> StandInBackend:
     is_model = service == MODEL_SERVICE
     address = layout.backend_address(number)
-    listed = Backend(
+    catalogue_entry = Backend(
         id=f"{service}-{number + 1}",
         service=service,
         address=str(address),
@@ -69,7 +69,7 @@
         stage="dual" if is_model else None,
         models=(ServedModel("m"),) if is_model else (),
     )
-    return StandInBackend(listed, address, speed, CACHE_TOKENS if is_model else 0)
+    return StandInBackend(catalogue_entry, address, speed, CACHE_TOKENS if is_model else 0)
 
 
 def _route(kind: RequestKind, service: str, route_type: RouteType, priority: int) -> Route:
--- a/src/nettledeal/standins/small_system.py
+++ b/src/nettledeal/standins/small_system.py
@@ -12,12 +12,12 @@
 from nettledeal.operator_api.client import OperatorClient
 from nettledeal.operator_api.status import StatusReport
 from nettledeal.standins.backend import StandInBackend
-from nettledeal.standins.layout import Layout, Machines, Zone, write_settings
+from nettledeal.standins.layout import Layout, MachineClass, Zone, write_settings
 from nettledeal.standins.platform_list import PlatformList
 from nettledeal.standins.processes import SystemProcess
 
-PATIENCE_S = 30.0
-END_WITHIN_S = 15.0
+CALL_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 15.0
 
 
 class SmallSystem:
@@ -35,10 +35,12 @@
         self.region_keys = region_keys or {}
         self.folder = folder
         self.backends = list(backends)
-        self.platform = PlatformList(layout.platform_address, [backend.listed for backend in self.backends])
-        self.cores = [self._core(number, bootstrap=True) for number in range(layout.cores)]
-        self.edges = [self._edge(number) for number in range(layout.edges)]
-        self.operator = OperatorClient(layout.core_addresses, PATIENCE_S)
+        self.platform = PlatformList(
+            layout.platform_address, [backend.catalogue_entry for backend in self.backends]
+        )
+        self.cores = [self._make_core(number, bootstrap=True) for number in range(layout.cores)]
+        self.edges = [self._make_edge(number) for number in range(layout.edges)]
+        self.operator = OperatorClient(layout.core_addresses, CALL_TIMEOUT_S)
 
     @property
     def processes(self) -> list[SystemProcess]:
@@ -52,12 +54,12 @@
         for process in self.processes:
             process.start()
 
-    def wait_ready(self, within_s: float = PATIENCE_S) -> None:
+    def wait_ready(self, within_s: float = CALL_TIMEOUT_S) -> None:
         """Wait until every data plane takes clients, which needs a configuration."""
         for edge in self.edges:
             edge.wait_for("dataplane:ready", within_s, lambda event: event["ready"] is True)
 
-    def wait_started(self, within_s: float = PATIENCE_S) -> None:
+    def wait_started(self, within_s: float = CALL_TIMEOUT_S) -> None:
         """Wait until every process that runs has begun to serve: before that, SIGTERM ends it as it comes."""
         for process in self.processes:
             if process.running:
@@ -72,19 +74,19 @@
     def primary_status(self) -> StatusReport:
         """The status page of the primary."""
         address = self.operator.get_configuration().peer
-        return OperatorClient([address], PATIENCE_S).status()
+        return OperatorClient([address], CALL_TIMEOUT_S).status()
 
     def restart_cores(self) -> None:
         """Start those core processes that have ended again, with the settings of a later start."""
         for number, core in enumerate(self.cores):
             if not core.running:
-                self._core(number, bootstrap=False)
+                self._make_core(number, bootstrap=False)
                 core.start()
 
     def replace_core(self, gone: SystemProcess) -> SystemProcess:
         """Start a core machine with an empty disk at another address, in the zone of one that is gone."""
         zone = self.layout.core_zone(self.cores.index(gone))
-        core = self._core(len(self.cores), bootstrap=False, zone=zone)
+        core = self._make_core(len(self.cores), bootstrap=False, zone=zone)
         self.cores.append(core)
         core.start()
         return core
@@ -94,7 +96,7 @@
         alive = [process for process in self.processes if process.running]
         for process in alive:
             process.terminate()
-        statuses = [process.wait(END_WITHIN_S) for process in alive]
+        statuses = [process.wait(STOP_TIMEOUT_S) for process in alive]
         for standin in [self.platform, *self.backends]:
             standin.stop()
         return statuses
@@ -104,19 +106,19 @@
         settings = (self.layout.edge_settings(number) for number in range(self.layout.edges))
         return [parse_address(edge.listen.frontend) for edge in settings]
 
-    def _core(self, number: int, bootstrap: bool, zone: Zone | None = None) -> SystemProcess:
+    def _make_core(self, number: int, bootstrap: bool, zone: Zone | None = None) -> SystemProcess:
         settings = self.layout.core_settings(number, self.folder, bootstrap, zone)
         Path(settings.data_dir).mkdir(parents=True, exist_ok=True)
-        return self._process(settings.node_name, Machines.CORE, settings)
+        return self._make_process(settings.node_name, MachineClass.CORE, settings)
 
-    def _edge(self, number: int) -> SystemProcess:
+    def _make_edge(self, number: int) -> SystemProcess:
         settings = self.layout.edge_settings(number)
         key = self.region_keys.get(settings.region)
         if key is not None:
             settings = msgspec.structs.replace(settings, tenant_region_key=str(key))
-        return self._process(settings.node_name, Machines.EDGE, settings)
+        return self._make_process(settings.node_name, MachineClass.EDGE, settings)
 
-    def _process(self, name: str, role: Machines, settings: Settings) -> SystemProcess:
+    def _make_process(self, name: str, role: MachineClass, settings: Settings) -> SystemProcess:
         path = self.folder / f"{name}.{role}.toml"  # a machine may have both
         write_settings(settings, path)
         return SystemProcess(name, str(role), path)
--- a/src/nettledeal/standins/tenant_control.py
+++ b/src/nettledeal/standins/tenant_control.py
@@ -28,10 +28,10 @@
 class ControlHistory:
     """All versions of the control state of a schedule, from the first to the newest."""
 
-    def __init__(self, binds: bool = True, make_secret: MakeSecret = token_bytes):
+    def __init__(self, enforces_bindings: bool = True, make_secret: MakeSecret = token_bytes):
         self.state = ControlState()
         self.versions: list[Mapping[str, bytes]] = []
-        self._binds = binds
+        self._enforces_bindings = enforces_bindings
         self._make_secret = make_secret
 
     @property
@@ -50,13 +50,13 @@
             configuration = parse_configuration(body)
         except ServingError:
             return False
-        concerned = configuration.has_tenants or TENANTS_KEY in self.state.entries
+        involves_tenants = configuration.has_tenants or TENANTS_KEY in self.state.entries
         command = PutConfiguration(
             self.state.generation,
             configuration.generation,
             xxhash.xxh3_128_digest(body),
             body,
-            claims_of(configuration) if concerned else None,
+            claims_of(configuration) if involves_tenants else None,
         )
         return self._carry_out(command)
 
@@ -76,10 +76,10 @@
         decision = decide(self.state, command)
         if decision.outcome is not Outcome.ACCEPTED:
             return False
-        changes = tuple(change for change in decision.changes if self._kept(change))
+        changes = tuple(change for change in decision.changes if self._is_applied(change))
         self.state = self.state.after(self.state.sequence + 1, changes)
         self.versions.append(control_entries(self.state.entries))
         return True
 
-    def _kept(self, change: Change) -> bool:
-        return self._binds or not change.key.startswith(BINDING_PREFIX)
+    def _is_applied(self, change: Change) -> bool:
+        return self._enforces_bindings or not change.key.startswith(BINDING_PREFIX)
--- a/src/nettledeal/standins/tenant_demonstration.py
+++ b/src/nettledeal/standins/tenant_demonstration.py
@@ -26,15 +26,15 @@
 from nettledeal.standins.processes import PROGRAM
 from nettledeal.standins.tenant_faults import Fault
 from nettledeal.standins.tenant_scenario import ANY_PATH, BANK, FUND, POOLED, TENANTS, own_service
-from nettledeal.standins.tenant_system import Found, TenantSystem, older_release
+from nettledeal.standins.tenant_system import CacheHits, TenantSystem, older_release
 
 PHASE_S = 6.0
 READY_WITHIN_S = 40.0
-SPREAD_S = 1.0
+KEY_PROPAGATION_S = 1.0
 # The least share of the unseparated figure that own reuse has to reach.
-LEAST_REUSE = 0.95
-OLD_EDGE = 1
-BAD_REQUESTS = (
+MIN_REUSE_RATIO = 0.95
+OLD_RELEASE_EDGE = 1
+INVALID_REQUESTS = (
     (FUND, FUND, {"Tenant": BANK}, "401"),
     (FUND, FUND, {"Tenant": "a" * 200}, "400"),
     (FUND, ANY_PATH, {"Tenant": "nobody"}, "401"),
@@ -49,18 +49,18 @@
 
     name: str
     compared: bool
-    found: Found
+    hits: CacheHits
 
 
 @dataclass
-class Play:
+class DemonstrationRun:
     """One play of the whole script, with separation or without."""
 
     system: TenantSystem
     phase_s: float
     phases: list[Phase] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
-    began_s: float = field(default_factory=time.monotonic)
+    violations: list[str] = field(default_factory=list)
+    started_s: float = field(default_factory=time.monotonic)
 
     def run(self) -> None:
         """All phases; raises ServingError where one does not come to its end in time."""
@@ -77,36 +77,38 @@
         self.phase("keys rotated", self.make_keys, compared=False)
         self.phase("an older release beside", self._run_older_release, compared=False)
         self.phase(
-            "releases alike again", lambda: self.system.restart_edge(OLD_EDGE, PROGRAM), compared=False
+            "releases alike again",
+            lambda: self.system.restart_edge(OLD_RELEASE_EDGE, PROGRAM),
+            compared=False,
         )
         if self.system.separated:
-            self._ask_badly()
-            self._give_away_service()
+            self._send_invalid_requests()
+            self._try_to_reassign_service()
             self.phase("one tenant dropped", self._drop, compared=False)
         self.system.traffic.stop()
 
-    def compared(self) -> Found:
+    def compared(self) -> CacheHits:
         """What was found in the phases that count for reuse."""
-        return _sum([phase.found for phase in self.phases if phase.compared])
+        return _sum([phase.hits for phase in self.phases if phase.compared])
 
     def bring_up(self) -> None:
         """Start everything with the first configuration, and traffic."""
         self.system.system.start()
         if not self.system.configure(self.system.places):
-            self.broken.append("configuration 1 was refused")
+            self.violations.append("configuration 1 was refused")
         self.system.system.wait_ready(READY_WITHIN_S)
         self.system.traffic.start()
 
     def phase(self, name: str, begin: Callable[[], None], compared: bool = True) -> None:
         """Begin a phase, let traffic go on for its length, and note what was found."""
-        before = self.system.found()
+        earlier_hits = self.system.cache_hits()
         begin()
         gevent.sleep(self.phase_s)
-        found = _difference(self.system.found(), before)
-        self.phases.append(Phase(name, compared, found))
+        hits = _difference(self.system.cache_hits(), earlier_hits)
+        self.phases.append(Phase(name, compared, hits))
         print(
-            f"{time.monotonic() - self.began_s:6.1f} s  {name}: {found.lookups} lookups, own reuse "
-            f"{100 * found.reuse:.0f}%, found across tenants {found.crossings}",
+            f"{time.monotonic() - self.started_s:6.1f} s  {name}: {hits.lookups} lookups, own reuse "
+            f"{100 * hits.reuse:.0f}%, found across tenants {hits.cross_tenant_hits}",
             flush=True,
         )
 
@@ -115,12 +117,12 @@
         if self.system.separated:
             for tenant in TENANTS:
                 rotate(self.system.system.operator, tenant)
-            gevent.sleep(SPREAD_S)
+            gevent.sleep(KEY_PROPAGATION_S)
 
     def move(self, fund: str, bank: str) -> None:
         """Configure which services the tenants' own routes lead to."""
         if not self.system.configure({FUND: fund, BANK: bank}):
-            self.broken.append("a move was refused")
+            self.violations.append("a move was refused")
 
     def _lose_primary(self) -> None:
         self.system.system.primary().kill()
@@ -134,26 +136,26 @@
         except ServingError as error:
             print(f"          not shown: {error}")
             return
-        self.system.restart_edge(OLD_EDGE, program)
+        self.system.restart_edge(OLD_RELEASE_EDGE, program)
 
-    def _ask_badly(self) -> None:
+    def _send_invalid_requests(self) -> None:
         self.system.traffic.stop()
-        before = self.system.found().lookups
-        for tenant, path, headers, expected in BAD_REQUESTS:
+        earlier_hits = self.system.cache_hits().lookups
+        for tenant, path, headers, expected in INVALID_REQUESTS:
             answer = self.system.traffic.ask(tenant, path, headers)
             if answer != expected:
-                self.broken.append(f"bad request {headers}: {answer}, not {expected}")
-        if self.system.found().lookups != before:
-            self.broken.append("a bad request reached a backend")
+                self.violations.append(f"bad request {headers}: {answer}, not {expected}")
+        if self.system.cache_hits().lookups != earlier_hits:
+            self.violations.append("a bad request reached a backend")
         self.system.traffic.start()
 
-    def _give_away_service(self) -> None:
+    def _try_to_reassign_service(self) -> None:
         if self.system.configure({FUND: own_service(BANK), BANK: POOLED}):
-            self.broken.append("a tenant's service changed hands")
+            self.violations.append("a tenant's service changed hands")
 
     def _drop(self) -> None:
         drop(self.system.system.operator, FUND)
-        gevent.sleep(SPREAD_S)
+        gevent.sleep(KEY_PROPAGATION_S)
 
 
 def main() -> int:
@@ -162,60 +164,64 @@
     parser.add_argument("--phase", type=float, default=PHASE_S, metavar="SECONDS", help="length of a phase")
     parser.add_argument("--without-faults", action="store_true", help="plant no faults")
     parsed = parser.parse_args()
-    apart = _play(0, parsed.phase, separated=True)
-    together = _play(1, parsed.phase, separated=False)
-    share = apart.compared().reuse / max(together.compared().reuse, 1e-9)
-    total = _sum([phase.found for phase in apart.phases])
-    broken = apart.broken + together.broken
+    separated_run = _run_script(0, parsed.phase, separated=True)
+    unseparated_run = _run_script(1, parsed.phase, separated=False)
+    reuse_ratio = separated_run.compared().reuse / max(unseparated_run.compared().reuse, 1e-9)
+    total = _sum([phase.hits for phase in separated_run.phases])
+    violations = separated_run.violations + unseparated_run.violations
     print(f"\nlookups {total.lookups}")
     print(
-        f"own reuse {100 * apart.compared().reuse:.1f}% of shared tokens, without separation "
-        f"{100 * together.compared().reuse:.1f}%: {share:.3f} of it"
+        f"own reuse {100 * separated_run.compared().reuse:.1f}% of shared tokens, without separation "
+        f"{100 * unseparated_run.compared().reuse:.1f}%: {reuse_ratio:.3f} of it"
     )
     print(f"reached a region outside a tenant's homes: {total.outside_homes}")
-    print(f"found across tenants: {total.crossings}")
-    if total.crossings or total.outside_homes or share < LEAST_REUSE:
-        broken.append("what was found is not as it should be")
+    print(f"found across tenants: {total.cross_tenant_hits}")
+    if total.cross_tenant_hits or total.outside_homes or reuse_ratio < MIN_REUSE_RATIO:
+        violations.append("what was found is not as it should be")
     if not parsed.without_faults:
-        broken += [f"planted {fault} was not counted" for fault in Fault if not _counts(fault, parsed.phase)]
-    print("\n".join(broken) or "all guards hold, and each planted fault was counted")
-    return 1 if broken else 0
+        violations += [
+            f"planted {fault} was not counted" for fault in Fault if not _detects(fault, parsed.phase)
+        ]
+    print("\n".join(violations) or "all guards hold, and each planted fault was counted")
+    return 1 if violations else 0
 
 
-def _play(number: int, phase_s: float, separated: bool) -> Play:
+def _run_script(number: int, phase_s: float, separated: bool) -> DemonstrationRun:
     print(f"\n{'with' if separated else 'without'} separation")
     with tempfile.TemporaryDirectory(prefix="nettledeal-") as folder:
-        play = Play(TenantSystem(Layout(Network.of_this_process(number)), Path(folder), separated), phase_s)
+        run = DemonstrationRun(
+            TenantSystem(Layout(Network.of_this_process(number)), Path(folder), separated), phase_s
+        )
         try:
-            play.run()
-            print(f"answers: {dict(play.system.traffic.answers)}")
+            run.run()
+            print(f"answers: {dict(run.system.traffic.answers)}")
             if separated:
-                print(_counts_table(play.system))
+                print(_counts_table(run.system))
         finally:
-            play.system.traffic.stop()
-            play.system.system.stop()
-        return play
+            run.system.traffic.stop()
+            run.system.system.stop()
+        return run
 
 
-def _counts(fault: Fault, phase_s: float) -> bool:
+def _detects(fault: Fault, phase_s: float) -> bool:
     """Whether a planted fault is seen."""
     with tempfile.TemporaryDirectory(prefix="nettledeal-") as folder:
         layout = Layout(Network.of_this_process(2 + list(Fault).index(fault) % 2))
         system = TenantSystem(layout, Path(folder), fault=fault)
-        play = Play(system, phase_s)
+        run = DemonstrationRun(system, phase_s)
         print(f"\nplanted: {fault}")
         try:
-            play.bring_up()
+            run.bring_up()
             if fault is not Fault.KEY_MISSING:
-                play.phase("calm", play.make_keys)
+                run.phase("calm", run.make_keys)
             if fault is Fault.BINDING_IGNORED:
-                play.phase("a service changes hands", lambda: play.move(own_service(BANK), POOLED))
+                run.phase("a service changes hands", lambda: run.move(own_service(BANK), POOLED))
             else:
-                play.phase("both moved to one service", lambda: play.move(POOLED, POOLED))
+                run.phase("both moved to one service", lambda: run.move(POOLED, POOLED))
         finally:
             system.traffic.stop()
             system.system.stop()
-        return system.found().crossings > 0
+        return system.cache_hits().cross_tenant_hits > 0
 
 
 def _counts_table(system: TenantSystem) -> str:
@@ -234,12 +240,12 @@
     return table.render()
 
 
-def _sum(founds: list[Found]) -> Found:
-    return Found(*(sum(getattr(found, name) for found in founds) for name in Found.__slots__))
+def _sum(all_hits: list[CacheHits]) -> CacheHits:
+    return CacheHits(*(sum(getattr(hits, name) for hits in all_hits) for name in CacheHits.__slots__))
 
 
-def _difference(later: Found, earlier: Found) -> Found:
-    return Found(*(getattr(later, name) - getattr(earlier, name) for name in Found.__slots__))
+def _difference(later: CacheHits, earlier: CacheHits) -> CacheHits:
+    return CacheHits(*(getattr(later, name) - getattr(earlier, name) for name in CacheHits.__slots__))
 
 
 if __name__ == "__main__":
--- a/src/nettledeal/standins/tenant_fleet.py
+++ b/src/nettledeal/standins/tenant_fleet.py
@@ -25,23 +25,23 @@
 from nettledeal.tenancy.wiring import rewritten_services
 
 ZONES = {"north-1": "north", "south-1": "south"}
-MOST_HEADER, MOST_BODY = 16_384, 65_536
+MAX_HEADER_BYTES, MAX_BODY_BYTES = 16_384, 65_536
 # What a data plane of a release without tenants takes of the control source.
-KNOWN_TO_OLD = ("route/", "service/", "evacuation/", "limits", "generation")
+OLD_RELEASE_KEY_PREFIXES = ("route/", "service/", "evacuation/", "limits", "generation")
 
 
 @dataclass
 class Engine:
     """One incarnation of a backend and what it keeps."""
 
-    listed: Backend
+    catalogue_entry: Backend
     cache: RecordingCache
 
     def read(self, tenant: str, sent: bytes) -> None:
         """Take a request as it came over the wire."""
-        request = ClientRequest(MOST_HEADER, MOST_BODY)
+        request = ClientRequest(MAX_HEADER_BYTES, MAX_BODY_BYTES)
         request.read(bytearray(sent), len(sent))
-        self.cache.read_for(tenant, parse_prompt(request.header(b"prompt-prefix").decode("latin-1")))
+        self.cache.prefill_for(tenant, parse_prompt(request.header(b"prompt-prefix").decode("latin-1")))
 
 
 @dataclass
@@ -68,7 +68,9 @@
     def apply(self, version: int, entries: Mapping[str, bytes], now: float) -> None:
         """Take a version of the control source."""
         if self.of_old_release:
-            entries = {key: value for key, value in entries.items() if key.startswith(KNOWN_TO_OLD)}
+            entries = {
+                key: value for key, value in entries.items() if key.startswith(OLD_RELEASE_KEY_PREFIXES)
+            }
         self.version = version
         self.table = updated_table(self.table, entries)
         self.selector.update_services([ServiceProfile(name) for name in self.table.services], now)
@@ -77,7 +79,7 @@
 
     def serve(self, text: bytes, tenant: str, engines: Mapping[str, Engine], now: float) -> HTTPStatus:
         """Serve a client's request as `ingress` and `forwarding` do; returns the status of the answer."""
-        request = ClientRequest(MOST_HEADER, MOST_BODY)
+        request = ClientRequest(MAX_HEADER_BYTES, MAX_BODY_BYTES)
         try:
             request.read(bytearray(text), len(text))
             request.validate()
--- a/src/nettledeal/standins/tenant_system.py
+++ b/src/nettledeal/standins/tenant_system.py
@@ -44,19 +44,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class CacheHits:
     """What some lookups found, in lookups and in shared tokens."""
 
     lookups: int = 0
     shared_tokens: int = 0
-    found_own: int = 0
-    crossings: int = 0
+    own_hit_tokens: int = 0
+    cross_tenant_hits: int = 0
     outside_homes: int = 0
 
     @property
     def reuse(self) -> float:
         """The share of shared tokens that a tenant found of its own."""
-        return self.found_own / self.shared_tokens if self.shared_tokens else 0.0
+        return self.own_hit_tokens / self.shared_tokens if self.shared_tokens else 0.0
 
 
 class TenantSystem:
@@ -101,18 +101,18 @@
         self.places = dict(places)
         return True
 
-    def found(self) -> Found:
+    def cache_hits(self) -> CacheHits:
         """All that was found so far."""
-        shared = own = crossings = outside = count = 0
+        shared = own = cross_tenant_hits = outside = count = 0
         for zone, lookups in self._recorded:
             region = zone.rpartition("-")[0]
             for lookup in lookups:
                 count += 1
                 shared += lookup.shared_tokens
-                own += lookup.found_own
-                crossings += lookup.found_across > 0
+                own += lookup.own_hit_tokens
+                cross_tenant_hits += lookup.cross_tenant_hit_tokens > 0
                 outside += lookup.tenant == BANK and region not in BANK_HOMES
-        return Found(count, shared, own, crossings, outside)
+        return CacheHits(count, shared, own, cross_tenant_hits, outside)
 
     def restart_edge(self, number: int, program: Path | None = None) -> None:
         """Kill a data plane and start it again, of another release where a program is given."""
@@ -133,7 +133,7 @@
             if self.layout.edge_settings(number).region == LOST_REGION:
                 edge.kill()
         for backend in self.system.backends:
-            if Zone(backend.listed.zone).region == LOST_REGION:
+            if Zone(backend.catalogue_entry.zone).region == LOST_REGION:
                 backend.stop()
         self._list()
 
@@ -159,9 +159,9 @@
 
     def _list(self) -> None:
         self.system.platform.backends = [
-            backend.listed
+            backend.catalogue_entry
             for backend in self.system.backends
-            if Zone(backend.listed.zone).region not in self.lost
+            if Zone(backend.catalogue_entry.zone).region not in self.lost
         ]
 
     def _frontends(self) -> list[tuple[str, Address]]:
@@ -178,7 +178,7 @@
     def _backend(self, number: int, service: str, zone: Zone) -> StandInBackend:
         self._incarnations += 1
         address = self.layout.backend_address(number)
-        listed = Backend(
+        catalogue_entry = Backend(
             id=f"{service}-{self._incarnations}",
             service=service,
             address=str(address),
@@ -187,7 +187,9 @@
             stage="dual",
             models=(ServedModel("m"),),
         )
-        backend = StandInBackend(listed, address, SPEED, MEMORY_TOKENS, tenant_of=self.traffic.tenant_of)
+        backend = StandInBackend(
+            catalogue_entry, address, SPEED, MEMORY_TOKENS, tenant_of=self.traffic.tenant_of
+        )
         self._recorded.append((str(zone), backend.lookups))
         return backend
 
--- a/src/nettledeal/standins/tenant_traffic.py
+++ b/src/nettledeal/standins/tenant_traffic.py
@@ -29,8 +29,8 @@
 
 REQUESTS_PER_S = 30.0
 TIMEOUT_S = 5.0
-MOST_TRIES = 4
-FIRST_PAUSE_S = 0.2
+MAX_ATTEMPTS = 4
+INITIAL_BACKOFF_S = 0.2
 EVENTS = 2
 LOST = "lost"
 
@@ -46,8 +46,8 @@
         self._materials = materials
         self._random = Random(seed)
         self._tenants: dict[str, str] = {}
-        self._asking = Group()
-        self._arriving: gevent.Greenlet | None = None
+        self._in_flight = Group()
+        self._generator: gevent.Greenlet | None = None
 
     def tenant_of(self, request_id: str) -> str:
         """Who sent a request."""
@@ -55,34 +55,36 @@
 
     def start(self) -> None:
         """Ask from now on."""
-        self._arriving = gevent.spawn(self._arrive)
+        self._generator = gevent.spawn(self._generate)
 
     def stop(self) -> None:
         """Ask nothing more, and wait for what is under way."""
-        if self._arriving is not None:
-            self._arriving.kill()
-        self._asking.join(timeout=2 * TIMEOUT_S)
+        if self._generator is not None:
+            self._generator.kill()
+        self._in_flight.join(timeout=2 * TIMEOUT_S)
 
     def ask(self, tenant: str, path: str, headers: dict[str, str] | None = None) -> str:
         """One request of a tenant with all its tries; the last answer's status, or LOST."""
         material = material_of(tenant, self._random.randrange(self._materials), self._materials)
         answer = LOST
-        for attempt in range(MOST_TRIES):
-            answer, pause_s = self._try(tenant, path, material, headers or {})
+        for attempt in range(MAX_ATTEMPTS):
+            answer, backoff_s = self._attempt(tenant, path, material, headers or {})
             if answer not in (LOST, str(HTTPStatus.SERVICE_UNAVAILABLE.value)):
                 break
-            gevent.sleep(pause_s * (attempt + 1))
+            gevent.sleep(backoff_s * (attempt + 1))
         self.answers[answer] += 1
         return answer
 
-    def _arrive(self) -> None:
+    def _generate(self) -> None:
         while True:
             gevent.sleep(self._random.expovariate(REQUESTS_PER_S))
             tenant = self._random.choice(TENANTS)
             path = self._random.choice((tenant, tenant, ANY_PATH))
-            self._asking.spawn(self.ask, tenant, path)
+            self._in_flight.spawn(self.ask, tenant, path)
 
-    def _try(self, tenant: str, path: str, material: str, more: dict[str, str]) -> tuple[str, float]:
+    def _attempt(
+        self, tenant: str, path: str, material: str, extra_headers: dict[str, str]
+    ) -> tuple[str, float]:
         request_id = f"{self._random.getrandbits(64):016x}"
         self._tenants[request_id] = tenant
         headers = {
@@ -97,12 +99,14 @@
             headers |= {"Tenant": tenant, "Tenant-Token": token_of(tenant).decode()}
         client = HttpClient(self._frontend(tenant))
         try:
-            response = client.request(HTTPMethod.POST, f"/{path}/new", TIMEOUT_S, b"{}", headers | more)
+            response = client.request(
+                HTTPMethod.POST, f"/{path}/new", TIMEOUT_S, b"{}", headers | extra_headers
+            )
         except ServingError:
-            return LOST, FIRST_PAUSE_S
+            return LOST, INITIAL_BACKOFF_S
         finally:
             client.close()
-        return str(response.status), float(response.headers.get("retry-after", FIRST_PAUSE_S))
+        return str(response.status), float(response.headers.get("retry-after", INITIAL_BACKOFF_S))
 
     def _frontend(self, tenant: str) -> Address:
         known = self._frontends()
--- a/src/nettledeal/standins/traffic.py
+++ b/src/nettledeal/standins/traffic.py
@@ -20,7 +20,7 @@
     """How often clients of all zones together send a kind of request, and about how many subjects."""
 
     kind: RequestKind
-    per_s: float
+    requests_per_s: float
     subjects: int = 1
 
 
@@ -62,13 +62,13 @@
         self._demands = list(demands)
         self._random = Random(seed)
         self._phase = ""
-        self._asking = Group()
-        self._arriving: list[gevent.Greenlet] = []
+        self._in_flight = Group()
+        self._generators: list[gevent.Greenlet] = []
 
     def start(self, phase: str) -> None:
         """Begin to send; what is sent from now on counts to `phase`."""
         self.enter(phase)
-        self._arriving = [gevent.spawn(self._arrive, demand) for demand in self._demands]
+        self._generators = [gevent.spawn(self._generate, demand) for demand in self._demands]
 
     def enter(self, phase: str) -> None:
         """Count what is sent from now on to another phase."""
@@ -77,19 +77,19 @@
 
     def stop(self) -> None:
         """Send no more, and wait for what is under way."""
-        gevent.killall(self._arriving)
-        self._asking.join()
+        gevent.killall(self._generators)
+        self._in_flight.join()
 
-    def _arrive(self, demand: Demand) -> None:
+    def _generate(self, demand: Demand) -> None:
         while True:
-            gevent.sleep(self._random.expovariate(demand.per_s))
+            gevent.sleep(self._random.expovariate(demand.requests_per_s))
             summary = next(
                 summary
                 for summary in reversed(self.summaries)
                 if (summary.phase, summary.kind) == (self._phase, demand.kind.name)
             )
             client = self._random.choice(self.clients)
-            self._asking.spawn(self._ask, client, demand, summary)
+            self._in_flight.spawn(self._ask, client, demand, summary)
 
     def _ask(self, client: Client, demand: Demand, summary: Summary) -> None:
         summary.outcomes.append(client.ask(demand.kind, self._random.randrange(demand.subjects)))
--- a/src/nettledeal_simulations/tenant_world.py
+++ b/src/nettledeal_simulations/tenant_world.py
@@ -135,16 +135,16 @@
 
     def _start_engine(self, service: str, zone: str) -> None:
         self.number += 1
-        listed = Backend(f"i-{self.number}", service, "127.0.0.1:1", zone, CAPACITY)
-        self.engines[listed.id] = Engine(listed, RecordingCache(MEMORY_TOKENS))
+        catalogue_entry = Backend(f"i-{self.number}", service, "127.0.0.1:1", zone, CAPACITY)
+        self.engines[catalogue_entry.id] = Engine(catalogue_entry, RecordingCache(MEMORY_TOKENS))
 
     def _end_engine(self, engine: Engine) -> None:
-        self.ended.append(self.engines.pop(engine.listed.id))
+        self.ended.append(self.engines.pop(engine.catalogue_entry.id))
 
     def _tell_catalogue(self) -> None:
-        listed = [engine.listed for engine in self.engines.values()]
+        catalogue_entry = [engine.catalogue_entry for engine in self.engines.values()]
         for agent in self.agents:
-            agent.selector.update_backends(listed, self.now)
+            agent.selector.update_backends(catalogue_entry, self.now)
 
     def _configure(self) -> None:
         self._put(self.places)
@@ -195,10 +195,10 @@
             for lookup in engine.cache.lookups:
                 self.count.lookups += 1
                 self.count.shared_tokens += lookup.shared_tokens
-                self.count.found_own += lookup.found_own
-                self.count.found_across += lookup.found_across
-                self.count.crossings += lookup.found_across > 0
+                self.count.found_own += lookup.own_hit_tokens
+                self.count.found_across += lookup.cross_tenant_hit_tokens
+                self.count.crossings += lookup.cross_tenant_hit_tokens > 0
                 self.count.outside_homes += (
-                    lookup.tenant == BANK and ZONES[engine.listed.zone] not in BANK_HOMES
+                    lookup.tenant == BANK and ZONES[engine.catalogue_entry.zone] not in BANK_HOMES
                 )
         return self.count
--- a/src/nettledeal_simulations/tenants.py
+++ b/src/nettledeal_simulations/tenants.py
@@ -88,7 +88,7 @@
         kept = [
             path
             for engine in self.engines.values()
-            for path, putters in engine.cache.put_by()
+            for path, putters in engine.cache.tenants_by_path()
             if putters == {other} and len(path) == 2
         ]
         picked = self.random.random()
@@ -149,7 +149,7 @@
         """A backend ends; another takes its place with an empty memory."""
         engine = self.random.choice(list(self.engines.values()))
         self._end_engine(engine)
-        self._start_engine(engine.listed.service, engine.listed.zone)
+        self._start_engine(engine.catalogue_entry.service, engine.catalogue_entry.zone)
         if self.random.random() < TOLD_AT_ONCE:
             self._tell_catalogue()
 
@@ -157,7 +157,9 @@
         """A region goes with its agents and backends, and the other one takes over; or it comes back."""
         if self.lost is None:
             self.lost = self.random.choice(sorted(set(ZONES.values())))
-            for engine in [engine for engine in self.engines.values() if self._is_lost(engine.listed.zone)]:
+            for engine in [
+                engine for engine in self.engines.values() if self._is_lost(engine.catalogue_entry.zone)
+            ]:
                 self._end_engine(engine)
         else:
             lost, self.lost = self.lost, None
--- a/tests/system/test_control_on_edges.py
+++ b/tests/system/test_control_on_edges.py
@@ -15,10 +15,10 @@
 from nettledeal.standins.backend import EngineSpeed
 from nettledeal.standins.checks import broken_rules
 from nettledeal.standins.clients import Ending
-from nettledeal.standins.layout import Layout, Machines, Network, Port, Zone, write_settings
+from nettledeal.standins.layout import Layout, MachineClass, Network, Port, Zone, write_settings
 from nettledeal.standins.processes import SystemProcess, wait_until
 from nettledeal.standins.scenario import BRIEF, CARD, EXTRA, make_backends, make_configuration
-from nettledeal.standins.small_system import PATIENCE_S, SmallSystem
+from nettledeal.standins.small_system import CALL_TIMEOUT_S, SmallSystem
 from nettledeal.standins.traffic import Traffic
 
 WITHIN_S = 60.0
@@ -58,14 +58,14 @@
         self.system = SmallSystem(layout, folder, make_backends(layout, EngineSpeed(), EngineSpeed()))
         self.relay = self._make_relay(layout, folder)
         self.relay_host = layout.core_host(RELAY)
-        self.through_relay = OperatorClient([Address(self.relay_host, Port.CONTROL_PLANE)], PATIENCE_S)
+        self.through_relay = OperatorClient([Address(self.relay_host, Port.CONTROL_PLANE)], CALL_TIMEOUT_S)
         self.clients = Traffic([], layout.directory_addresses).clients
 
     def _make_relay(self, layout: EdgesOnly, folder: Path) -> SystemProcess:
         settings = layout.core_settings(RELAY, folder, bootstrap=True)
         path = folder / "relay.toml"
         write_settings(settings, path)
-        return SystemProcess("relay", str(Machines.CORE), path)
+        return SystemProcess("relay", str(MachineClass.CORE), path)
 
     def bring_up(self) -> None:
         self.system.start()
--- a/tests/system/test_standins.py
+++ b/tests/system/test_standins.py
@@ -34,23 +34,23 @@
 
 def test_shared_parts_are_read_once():
     cache = PrefixCache(1000)
-    assert cache.read(parts(("a", 300), ("b", 100))) == 0
-    assert cache.read(parts(("a", 300), ("c", 100))) == 300
+    assert cache.prefill(parts(("a", 300), ("b", 100))) == 0
+    assert cache.prefill(parts(("a", 300), ("c", 100))) == 300
 
 
 def test_a_part_helps_only_after_the_same_parts():
     cache = PrefixCache(1000)
-    cache.read(parts(("a", 300), ("b", 100)))
-    assert cache.read(parts(("x", 300), ("b", 100))) == 0
+    cache.prefill(parts(("a", 300), ("b", 100)))
+    assert cache.prefill(parts(("x", 300), ("b", 100))) == 0
 
 
 def test_the_parts_unused_longest_give_way():
     cache = PrefixCache(500)
-    cache.read(parts(("a", 300)))
-    cache.read(parts(("b", 300)))
+    cache.prefill(parts(("a", 300)))
+    cache.prefill(parts(("b", 300)))
     assert cache.used_tokens <= 500
-    assert cache.read(parts(("b", 300))) == 300
-    assert cache.read(parts(("a", 300))) == 0
+    assert cache.prefill(parts(("b", 300))) == 300
+    assert cache.prefill(parts(("a", 300))) == 0
 
 
 def test_settings_are_read_as_they_were_written(tmp_path):
@@ -86,8 +86,8 @@
     )
     backend.start()
     client = Client(Zone.NORTH_1, [], Random(1))
-    client.known = [Address("127.9.9.8", backend.port)]
-    client.known_until_s = float("inf")
+    client.addresses = [Address("127.9.9.8", backend.port)]
+    client.addresses_expire_at_s = float("inf")
     yield client, backend
     backend.stop()
 
--- a/tests/system/test_tenancy_schedules.py
+++ b/tests/system/test_tenancy_schedules.py
@@ -49,8 +49,8 @@
     cache = RecordingCache(1000)
     parts = [PromptPart("a", 100), PromptPart("b", 50), PromptPart("own", 10)]
     for tenant in ("one", "one", "two", "two"):
-        cache.read_for(tenant, parts)
-    assert [(seen.found_own, seen.found_across) for seen in cache.lookups] == [
+        cache.prefill_for(tenant, parts)
+    assert [(seen.own_hit_tokens, seen.cross_tenant_hit_tokens) for seen in cache.lookups] == [
         (0, 0),
         (150, 0),
         (0, 150),
@@ -60,7 +60,7 @@
 
 def test_the_recording_cache_forgets_what_gives_way():
     cache = RecordingCache(100)
-    cache.read_for("one", [PromptPart("a", 90), PromptPart("own", 10)])
-    cache.read_for("two", [PromptPart("b", 90), PromptPart("own2", 10)])
-    cache.read_for("one", [PromptPart("a", 90), PromptPart("own3", 10)])
-    assert [(seen.found_own, seen.found_across) for seen in cache.lookups] == [(0, 0)] * 3
+    cache.prefill_for("one", [PromptPart("a", 90), PromptPart("own", 10)])
+    cache.prefill_for("two", [PromptPart("b", 90), PromptPart("own2", 10)])
+    cache.prefill_for("one", [PromptPart("a", 90), PromptPart("own3", 10)])
+    assert [(seen.own_hit_tokens, seen.cross_tenant_hit_tokens) for seen in cache.lookups] == [(0, 0)] * 3
