--- a/src/nettledeal/membership/__main__.py
+++ b/src/nettledeal/membership/__main__.py
@@ -84,7 +84,7 @@
     lines = FileObject(sys.stdin.buffer, "rb", close=False)
     options = msgspec.json.decode(lines.readline(), type=StartOptions)
     clock, counts = Clock(), Counter()
-    clock.offset += int(options.ahead * 1e9)
+    clock.unix_offset_ns += int(options.ahead * 1e9)
     listen = parse_address(options.listen)
     member = Member(
         options.name,
@@ -151,7 +151,7 @@
                 host.loss = float(arguments[0])
                 write_line(said="done")
             case "jump":
-                clock.offset += int(float(arguments[0]) * SECOND) * 100_000
+                clock.unix_offset_ns += int(float(arguments[0]) * SECOND) * 100_000
                 write_line(said="done")
             case "leave":
                 host.leave()
