--- a/tests/system/test_processor_quotas.py
+++ b/tests/system/test_processor_quotas.py
@@ -1,8 +1,8 @@
 """Machines with a CPU quota: full speed until it is spent, then stopped for the rest of each 0.1 s.
 
 Failure detection by silence must not take such a machine for a lost one: membership, the leases of the
-control state, and its in-sync set. (Fault schedules of the control state with quotas: `control_worst_days`,
-shape six-serving.)
+control state, and its in-sync set. (Fault schedules of the control state with quotas are in
+`control_severe_faults`, shape six-serving.)
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import pytest
 
 from nettledeal.membership.view import State
-from tests.system.control_worst_days import SHAPES, WorstDay
+from tests.system.control_severe_faults import SHAPES, SevereFaultWorld
 from tests.system.simulated_members import CORES, Group
 
 DURATION_S = 60.0
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("shape", SHAPES.values(), ids=SHAPES)
 @pytest.mark.parametrize("quota", LOW_QUOTAS)
 def test_the_primary_and_the_in_sync_set_do_not_change(quota, shape):
-    world = WorstDay("quota", shape)
+    world = SevereFaultWorld("quota", shape)
     world.run(6.0)
     before = world.primary().replica.record
     for machine in world.machines.values():
