--- a/src/nettledeal/discovery/catalogue_reader.py
+++ b/src/nettledeal/discovery/catalogue_reader.py
@@ -152,9 +152,9 @@
         self._min_read_interval_s = 1.0 / max(0.1, settings.cloud.rate_per_s * LIST_RATE_FRACTION)
         self._term: tuple[int, int] | None = None
         self._catalogue = Catalogue()
-        self._has_complete_reading = False  # whether this term has read the whole list
+        self._has_complete_reading = False  # in this term
         self._has_unpublished_changes = False
-        self._last_reading_incomplete = False  # whether this term's last reading was incomplete
+        self._last_reading_incomplete = False  # in this term
         self._progress_at_s = 0.0
         self._list_failing = False
         self._role_changed = Event()
