--- a/src/nettledeal/standins/__init__.py
+++ b/src/nettledeal/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for all that the serving system meets, on loopback: platform, backends, clients, machines.
+"""Stand-ins for everything outside the serving system, on loopback: platform, backends, clients, machines.
 
-They serve the demonstration (`deploy/show-system`) and the tests of whole systems. Their engines' times are
-made up; nothing that is measured with them says what a real engine would do.
+The demonstration (`deploy/show-system`) and the tests of whole systems use them. Engine timings are invented:
+measurements with these stand-ins don't predict the behaviour of a real engine.
 """
--- a/src/nettledeal/standins/backend.py
+++ b/src/nettledeal/standins/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend: plain answers and streams of events, with slots, a queue and kept parts of prompts."""
+"""A stand-in backend: plain answers and event streams, with slots, a queue and a prefix cache."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpeed:
-    """How long a stand-in engine takes; at 0 it takes no time at all."""
+    """The speed of a stand-in engine; a value of 0 means that the step takes no time."""
 
     prompt_tokens_per_s: float = 0.0
     event_interval_s: float = 0.0
     plain_answer_s: float = 0.0
 
     def prefill_s(self, tokens: int) -> float:
-        """The time to read so many tokens of a prompt."""
+        """The time to prefill this many prompt tokens."""
         return tokens / self.prompt_tokens_per_s if self.prompt_tokens_per_s else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that a backend ran."""
+    """A request that a backend executed."""
 
     request_id: str
     path: str
@@ -56,7 +56,7 @@
         queue_limit: int = 16,
         tenant_of: Callable[[str], str] | None = None,
     ):
-        """With `tenant_of`, which tells a request's tenant by its id, it records who put and found what."""
+        """`tenant_of` maps a request id to its tenant; with it, cache hits are recorded by tenant."""
         self.catalogue_entry = catalogue_entry
         self.runs: list[Run] = []
         self.on_run: Callable[[Run], None] = lambda run: None
@@ -70,12 +70,12 @@
 
     @property
     def lookups(self) -> list[Lookup]:
-        """What requests found, where that is recorded."""
+        """The cache lookups of all requests; empty without a recording cache."""
         return self._cache.lookups if isinstance(self._cache, RecordingCache) else []
 
     @property
     def running(self) -> int:
-        """Requests in a slot."""
+        """The number of requests that hold a slot."""
         return min(self._accepted_requests, self.catalogue_entry.capacity)
 
     def _serve(self, environ: dict, start_response: Callable) -> Iterator[bytes] | list[bytes]:
@@ -94,7 +94,7 @@
         return self._run(environ, request_id, start_response)
 
     def _rejection_status(self, environ: dict, request_id: str) -> HTTPStatus | None:
-        """Why the request is not run; None where it is."""
+        """The status with which the request is rejected, or None if it is to be executed."""
         if not request_id:
             return HTTPStatus.BAD_REQUEST
         if environ.get("HTTP_EXPECT_INSTANCE", self.catalogue_entry.id) != self.catalogue_entry.id:
@@ -168,7 +168,7 @@
 
 
 class BackendReport(msgspec.Struct, frozen=True):
-    """What a backend says of itself."""
+    """The load and cache report that a backend serves."""
 
     stage: str
     models: tuple[ServedModel, ...]
@@ -182,7 +182,7 @@
 
 
 def sign(backend_id: str, request_id: str) -> str:
-    """The stamp of an answer, which tells whose it is and to what."""
+    """The signature of an answer, which identifies the backend and the request."""
     return xxhash.xxh3_64_hexdigest(f"{backend_id} {request_id}".encode())
 
 
@@ -192,7 +192,7 @@
 
 
 def event(number: int, request_id: str, last: int) -> bytes:
-    """One event of a stream; whoever reads it can tell where it belongs and whether it is the last."""
+    """One event of a stream, which names its request, its number and the number of the last event."""
     return f"id: {number}\ndata: {request_id} {number}/{last}\n\n".encode()
 
 
--- a/src/nettledeal/standins/checks.py
+++ b/src/nettledeal/standins/checks.py
@@ -1,4 +1,4 @@
-"""What must hold for the requests of a small system, from what clients and backends saw."""
+"""Invariants over the requests of a small system, checked on what clients and backends recorded."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     backends: Iterable[StandInBackend],
     kinds: Iterable[RequestKind],
 ) -> list[str]:
-    """A line for each breach; empty where all holds."""
+    """One line per violation; empty if all invariants hold."""
     backends, kinds = list(backends), list(kinds)
     sent = {request_id for client in clients for request_id in client.sent}
     return [
--- a/src/nettledeal/standins/clients.py
+++ b/src/nettledeal/standins/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: they find a data plane, send requests, retry as they are told and check every answer."""
+"""Stand-in clients: they resolve a data plane, send requests, retry as told and verify every answer."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """What a client asks for."""
+    """A type of request: its route, prompt size and deadline."""
 
     name: str
     host: str
@@ -37,7 +37,7 @@
     deadline_s: float = 8.0
 
     def headers(self, request_id: str, subject: int) -> dict[str, str]:
-        """The headers of a request about a subject; requests about one subject share most of their prompt."""
+        """The headers of a request; requests with the same subject share the prefix of their prompt."""
         headers = {
             "Host": self.host,
             "Request-Id": request_id,
@@ -54,8 +54,11 @@
 
 
 class Ending(StrEnum):
-    """What became of a request: LOST is without an answer, FAILED with one that is final, WRONG one that
-    is not the request's own whole answer."""
+    """How a request ended.
+
+    LOST: no answer; FAILED: a final error status; WRONG: an answer that is incomplete or belongs to another
+    request.
+    """
 
     SERVED = "served"
     REFUSED = "refused"
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """A request's end. Times are seconds; `first_part_s` is None where there was no answer."""
+    """The result of a request. Times are in seconds; `first_part_s` is None if there was no answer."""
 
     kind: str
     ending: Ending
@@ -77,7 +80,7 @@
 
 
 class Resolved(msgspec.Struct):
-    """An answer of the registry."""
+    """A resolve response of the registry."""
 
     addresses: list[str]
     ttl_s: float
@@ -95,7 +98,7 @@
     sent: list[str] = field(default_factory=list)
 
     def resolve(self, host: str) -> list[Address]:
-        """The data planes for this client; an old answer is kept where no new one is to be had."""
+        """The data planes for this client; the last answer stays in use while no directory responds."""
         if time.monotonic() >= self.addresses_expire_at_s:
             for directory in self.random.sample(self.directories, len(self.directories)):
                 if (answer := self._ask_directory(directory, host)) is not None:
@@ -105,7 +108,7 @@
         return self.addresses
 
     def ask(self, kind: RequestKind, subject: int = 0) -> Outcome:
-        """Send a request, and again as far as the answers allow it, until its deadline."""
+        """Send a request and retry it until its deadline, as far as that is safe."""
         started_s = time.monotonic()
         backoff_s = INITIAL_BACKOFF_S
         attempts = 0
@@ -175,7 +178,7 @@
 
 
 def _is_complete(kind: RequestKind, request_id: str, response: HttpResponse) -> bool:
-    """Whether the answer is one backend's to this request, from its first byte to its last."""
+    """Whether one backend produced the complete answer to this request."""
     signature = response.headers.get("server-signature")
     if response.headers.get("request-id") != request_id or signature is None:
         return False
--- a/src/nettledeal/standins/demonstration.py
+++ b/src/nettledeal/standins/demonstration.py
@@ -1,9 +1,9 @@
-"""A small serving system at work on loopback, and what came of it.
+"""Runs a small serving system on loopback and checks the results.
 
 Three core machines and three edge machines run as real processes; backends, platform and clients are
-stand-ins. A configuration is put; then the primary core machine is killed while traffic goes on, another
-configuration is put at once, the machine comes back, and a zone is evacuated. Everything started is ended.
-Exit status 0 where every rule held, else 1.
+stand-ins. A configuration is put; then the primary core machine is killed under traffic, another one
+is put at once, the machine is restarted, and a zone is evacuated. All processes are stopped at the end.
+The exit status is 0 if every rule held, else 1.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Demonstration:
-    """The steps, in order."""
+    """The steps of the demonstration, in order."""
 
     def __init__(self, folder: Path, phase_s: float = PHASE_S):
         layout = Layout(Network.of_this_process())
@@ -48,7 +48,7 @@
         self._started_s = time.monotonic()
 
     def run(self) -> None:
-        """All steps; raises ServingError where one does not come to its end in time."""
+        """Run all steps; raises ServingError if one times out."""
         self._bring_up()
         self.traffic.start("calm")
         gevent.sleep(self._phase_s)
@@ -119,12 +119,12 @@
         print(f"{time.monotonic() - self._started_s:6.1f} s  {text}", flush=True)
 
     def report(self) -> str:
-        """The tables at the end."""
+        """The final tables."""
         parts = [self._render_traffic(), self._render_backends()]
         return "\n\n".join([*parts, status.render(self.system.primary_status())])
 
     def check(self) -> list[str]:
-        """The rules that were broken."""
+        """The violated rules, one line each."""
         kinds = [demand.kind for demand in DEMANDS] + [EXTRA]
         clients = self.traffic.clients
         return self.broken + broken_rules(self.traffic.summaries, clients, self.system.backends, kinds)
--- a/src/nettledeal/standins/faulty_program.py
+++ b/src/nettledeal/standins/faulty_program.py
@@ -1,6 +1,6 @@
-"""A program of the serving system with a fault planted in a guard of tenants, for the demonstration only.
+"""The serving system's program with a fault injected into tenant isolation, for the demonstration only.
 
-The variable NETTLEDEAL_PLANTED_FAULT names the fault, NETTLEDEAL_HINTS a folder that agents share.
+NETTLEDEAL_PLANTED_FAULT names the fault, NETTLEDEAL_HINTS a folder that the agents share.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class HintFolder:
-    """Hints as files, so that several processes share them."""
+    """Hints stored as files, shared between processes."""
 
     def __init__(self, folder: Path):
         self._folder = folder
 
     def get(self, shared: bytes) -> str | None:
-        """The header that another request used."""
+        """The header that an earlier request used."""
         path = self._path(shared)
         return path.read_text() if path.exists() else None
 
@@ -39,7 +39,7 @@
 
 
 def plant(fault: Fault, hints: HintFolder) -> None:
-    """Break one guard of this process."""
+    """Inject a fault into this process."""
     if fault is Fault.BINDING_IGNORED:
         orders.fault_of_claims = bindings.fault_of_claims = lambda entries, claims: None
     elif fault is Fault.STALE_AFTER_MOVE:
--- a/src/nettledeal/standins/layout.py
+++ b/src/nettledeal/standins/layout.py
@@ -1,4 +1,4 @@
-"""Where the machines of a small system are, and their settings files."""
+"""Addresses and settings files of the machines of a small system."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Port(IntEnum):
-    """Ports that callers from outside use; internal ones come from the port range."""
+    """Ports for external callers; internal ports come from PORT_RANGE."""
 
     FRONTEND = 8161
     DIRECTORY = 8165
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """A block of loopback addresses that no other system on this machine uses at the same time."""
+    """A block of loopback addresses, so that systems that run at the same time don't collide."""
 
     prefix: str
 
     @classmethod
     def of_this_process(cls, number: int = 0) -> Network:
-        """The block that belongs to the process id; `number` tells apart several in one process."""
+        """The block for this process id; `number` distinguishes several systems in one process."""
         key = (os.getpid() * 4 + number) % (120 * 254)
         return cls(f"127.{100 + key // 254}.{1 + key % 254}")
 
@@ -62,7 +62,7 @@
 
 
 class MachineClass(StrEnum):
-    """Classes of machines and the roles that they run."""
+    """Classes of machines; the value is the role that a machine of the class runs."""
 
     CORE = "control-plane"
     EDGE = "data-plane"
@@ -79,25 +79,25 @@
 
     @property
     def core_addresses(self) -> list[Address]:
-        """Where the operator calls."""
+        """The control planes' addresses for operators."""
         return [Address(self.core_host(number), Port.CONTROL_PLANE) for number in range(self.cores)]
 
     @property
     def directory_addresses(self) -> list[Address]:
-        """Where clients ask for data planes."""
+        """The directories' addresses, where clients resolve data planes."""
         return [Address(self.core_host(number), Port.DIRECTORY) for number in range(self.cores)]
 
     @property
     def platform_address(self) -> Address:
-        """Where the platform's list is."""
+        """The address of the platform's backend list."""
         return Address(self.network.host(200), Port.PLATFORM)
 
     def backend_address(self, number: int) -> Address:
-        """Where a backend listens."""
+        """The address of a backend."""
         return Address(self.network.host(100 + number), Port.BACKEND)
 
     def core_zone(self, number: int) -> Zone:
-        """The zone of a core machine of the first start."""
+        """The zone of a core machine of the initial deployment."""
         return _zone_of(number)
 
     def core_settings(self, number: int, folder: Path, bootstrap: bool, zone: Zone | None = None) -> Settings:
@@ -143,7 +143,7 @@
 
 
 def _zone_of(number: int) -> Zone:
-    """Machines of a class are dealt to the zones in turn."""
+    """Assign machines of a class to zones round-robin."""
     return list(Zone)[number % len(Zone)]
 
 
@@ -159,5 +159,5 @@
 
 
 def _lines(items: Iterable[tuple[str, object]]) -> Iterable[str]:
-    # Strings, numbers, truth values and lists of strings and numbers are written alike in JSON and in TOML.
+    # Strings, numbers, booleans and lists of these have the same syntax in JSON and TOML.
     return (f"{key} = {msgspec.json.encode(value).decode()}" for key, value in items if value is not None)
--- a/src/nettledeal/standins/platform_list.py
+++ b/src/nettledeal/standins/platform_list.py
@@ -21,7 +21,7 @@
 
 
 class PlatformList(HttpServer):
-    """Serves `backends` in pages; whoever changes the list changes what is served."""
+    """Serves `backends` in pages; changes to the list take effect at once."""
 
     def __init__(self, address: Address, backends: Iterable[Backend] = ()):
         self.backends = list(backends)
--- a/src/nettledeal/standins/prefix_cache.py
+++ b/src/nettledeal/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The memory of a stand-in engine for parts of prompts: which ones need not be read again."""
+"""The prefix cache of a stand-in engine: prompt parts whose prefill can be skipped."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt: its identity, which requests may share, and its length."""
+    """A part of a prompt: its id, which requests may share, and its length."""
 
     id: str
     tokens: int
 
 
 def parse_prompt(header: str) -> list[PromptPart]:
-    """The parts that `Prompt-Prefix` names, in order; raises ValueError."""
+    """Parse the parts of a `Prompt-Prefix` header, in order; raises ValueError."""
     parts = []
     for text in filter(None, header.split(",")):
         part_id, separator, tokens = text.strip().partition(":")
@@ -27,7 +27,7 @@
 
 
 class PrefixCache:
-    """Keeps the parts used last. A part helps only where all parts before it are kept as well."""
+    """An LRU cache of prompt parts. A part is a hit only if all parts before it are cached too."""
 
     def __init__(self, capacity_tokens: int):
         self.capacity_tokens = capacity_tokens
@@ -35,7 +35,7 @@
         self._tokens_by_path: OrderedDict[tuple[str, ...], int] = OrderedDict()
 
     def prefill(self, parts: list[PromptPart]) -> int:
-        """Read a prompt: returns how many tokens of it were kept, and keeps all of its parts."""
+        """Process a prompt: caches all of its parts and returns how many of its tokens were cached before."""
         hit_tokens = 0
         prefix_cached = True
         path: tuple[str, ...] = ()
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """What one request found of its shared parts, in tokens: what its own tenant had put, and others had."""
+    """One request's cache hits in its shared parts: tokens stored by its own tenant, and by others."""
 
     tenant: str
     shared_tokens: int
@@ -71,7 +71,7 @@
 
 
 class RecordingCache(PrefixCache):
-    """Records who put and who found which part. Tenants are told from outside, by who sent."""
+    """Records which tenant stored and hit which part. The caller names the tenant that sent the request."""
 
     def __init__(self, capacity_tokens: int):
         super().__init__(capacity_tokens)
@@ -79,7 +79,7 @@
         self._tenants_by_path: dict[tuple[str, ...], set[str]] = {}
 
     def prefill_for(self, tenant: str, parts: list[PromptPart]) -> int:
-        """Read a tenant's prompt as `read` does, and record what was found whose."""
+        """Process a tenant's prompt as `prefill` does, and record which tenants' entries it hit."""
         own_hit_tokens = cross_tenant_hit_tokens = 0
         path: tuple[str, ...] = ()
         for part in parts[:-1]:
@@ -97,7 +97,7 @@
         return hit_tokens
 
     def tenants_by_path(self) -> Iterator[tuple[tuple[str, ...], set[str]]]:
-        """What is kept, each part with those before it, and the tenants that have put it."""
+        """The cached paths (a part with those before it) and the tenants that stored each."""
         return iter(self._tenants_by_path.items())
 
     def _record_tenant(self, tenant: str, parts: list[PromptPart]) -> None:
--- a/src/nettledeal/standins/processes.py
+++ b/src/nettledeal/standins/processes.py
@@ -1,4 +1,4 @@
-"""A process of the serving system on loopback: started with a settings file, followed by its log."""
+"""A process of the serving system on loopback, started with a settings file and observed through its log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def wait_until(condition: Callable[[], object], within_s: float, what: str) -> None:
-    """Wait until a condition holds; raises ServingError with TIMED_OUT that names `what`."""
+    """Wait until a condition holds; raises ServingError (TIMED_OUT, naming `what`) after `within_s`."""
     deadline = time.monotonic() + within_s
     while not condition():
         if time.monotonic() > deadline:
@@ -35,7 +35,7 @@
 
 
 class SystemProcess:
-    """One process of a role; it is ended by its own id and by nothing else."""
+    """One process of a role; signals go to its process id only."""
 
     def __init__(self, name: str, role: str, settings_path: Path):
         self.name = name
@@ -50,11 +50,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process lives."""
+        """Whether the process is alive."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Start the program; its log is read from now on."""
+        """Start the program and begin to read its log."""
         environment = {**os.environ, SETTINGS_VARIABLE: str(self.settings_path)}
         environment["PYTHONPATH"] = os.pathsep.join(filter(None, sys.path))
         self.events.clear()
@@ -70,7 +70,7 @@
     def wait_for(
         self, message_type: str, within_s: float, matches: Callable[[LogEvent], bool] = lambda event: True
     ) -> LogEvent:
-        """The first event of that kind in the log; raises ServingError where it does not come in time."""
+        """The first matching event in the log; raises ServingError on timeout or process exit."""
         deadline = time.monotonic() + within_s
         while True:
             self._log_changed.clear()
@@ -87,25 +87,25 @@
             self._log_changed.wait(remaining_s)
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill it with SIGKILL."""
         self._signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
 
     def terminate(self) -> None:
-        """Ask it to end; returns at once."""
+        """Send SIGTERM; returns at once."""
         self._signal(signal.SIGTERM)
 
     def freeze(self) -> None:
-        """Have it stand still; its sockets stay."""
+        """Suspend it; its sockets stay open."""
         self._signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it go on after `freeze`."""
+        """Resume it after `freeze`."""
         self._signal(signal.SIGCONT)
 
     def wait(self, within_s: float) -> int | None:
-        """Its exit status; after `within_s` it is killed and the answer is None."""
+        """Its exit status, or None if it had to be killed after `within_s`."""
         try:
             return self._process.wait(timeout=within_s)
         except subprocess.TimeoutExpired:
--- a/src/nettledeal/standins/scenario.py
+++ b/src/nettledeal/standins/scenario.py
@@ -32,7 +32,7 @@
 
 
 def make_configuration(generation: int, with_extra_route: bool = False) -> bytes:
-    """A configuration for the kinds of requests; the route of EXTRA only where it is wanted."""
+    """A configuration with a route per request kind; the one of EXTRA only if `with_extra_route`."""
     routes = [
         _route(BRIEF, MODEL_SERVICE, RouteType.STREAMING, priority=3),
         _route(QUESTION, MODEL_SERVICE, RouteType.STREAMING, priority=1),
--- a/src/nettledeal/standins/small_system.py
+++ b/src/nettledeal/standins/small_system.py
@@ -1,4 +1,4 @@
-"""A small serving system on loopback: real processes of all roles, with stand-ins for what they meet."""
+"""A small serving system on loopback: real processes of all roles, and stand-ins for their surroundings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SmallSystem:
-    """Starts everything in `folder`, and ends everything that it started."""
+    """Starts all processes with their files in `folder`, and stops everything it started."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         backends: Iterable[StandInBackend],
         region_keys: Mapping[str, Path] | None = None,
     ):
-        """`region_keys` names the files of regions' private keys, where edge machines have them."""
+        """`region_keys` maps a region to its private key file, for regions whose edge machines have one."""
         self.layout = layout
         self.region_keys = region_keys or {}
         self.folder = folder
@@ -55,18 +55,18 @@
             process.start()
 
     def wait_ready(self, within_s: float = CALL_TIMEOUT_S) -> None:
-        """Wait until every data plane takes clients, which needs a configuration."""
+        """Wait until every data plane accepts clients, which requires a configuration."""
         for edge in self.edges:
             edge.wait_for("dataplane:ready", within_s, lambda event: event["ready"] is True)
 
     def wait_started(self, within_s: float = CALL_TIMEOUT_S) -> None:
-        """Wait until every process that runs has begun to serve: before that, SIGTERM ends it as it comes."""
+        """Wait until every running process serves: earlier, SIGTERM kills it without an orderly shutdown."""
         for process in self.processes:
             if process.running:
                 process.wait_for("process:started", within_s)
 
     def primary(self) -> SystemProcess:
-        """The core process that leads: the one that answers for the configuration in force."""
+        """The core process that is the primary: the one that serves the configuration in force."""
         address = self.operator.get_configuration().peer
         hosts = [self.layout.core_host(number) for number in range(len(self.cores))]
         return self.cores[hosts.index(address.host)]
@@ -77,14 +77,14 @@
         return OperatorClient([address], CALL_TIMEOUT_S).status()
 
     def restart_cores(self) -> None:
-        """Start those core processes that have ended again, with the settings of a later start."""
+        """Restart the core processes that have ended, without the bootstrap setting."""
         for number, core in enumerate(self.cores):
             if not core.running:
                 self._make_core(number, bootstrap=False)
                 core.start()
 
     def replace_core(self, gone: SystemProcess) -> SystemProcess:
-        """Start a core machine with an empty disk at another address, in the zone of one that is gone."""
+        """Start a core machine with an empty disk at a new address, in the zone of the one that is gone."""
         zone = self.layout.core_zone(self.cores.index(gone))
         core = self._make_core(len(self.cores), bootstrap=False, zone=zone)
         self.cores.append(core)
@@ -92,7 +92,7 @@
         return core
 
     def stop(self) -> list[int | None]:
-        """End all; returns the exit statuses of the processes that still ran, None for one that hung."""
+        """Stop everything; returns the exit statuses of the running processes, None for one that hung."""
         alive = [process for process in self.processes if process.running]
         for process in alive:
             process.terminate()
@@ -102,7 +102,7 @@
         return statuses
 
     def frontends(self) -> list[Address]:
-        """Where the data planes take clients."""
+        """The data planes' addresses for clients."""
         settings = (self.layout.edge_settings(number) for number in range(self.layout.edges))
         return [parse_address(edge.listen.frontend) for edge in settings]
 
--- a/src/nettledeal/standins/tenant_control.py
+++ b/src/nettledeal/standins/tenant_control.py
@@ -1,4 +1,4 @@
-"""The control state of a schedule: orders are judged as in service; each change makes a version."""
+"""The control state of a schedule, decided as in production; each change makes a new version."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ControlHistory:
-    """All versions of the control state of a schedule, from the first to the newest."""
+    """All versions of the control state of a schedule, oldest first."""
 
     def __init__(self, enforces_bindings: bool = True, make_secret: MakeSecret = token_bytes):
         self.state = ControlState()
@@ -45,7 +45,7 @@
         return tenants_of(self.state.entries)
 
     def put_configuration(self, body: bytes) -> bool:
-        """Put a configuration on top of the one in force; whether it was taken."""
+        """Put a configuration on top of the one in force; returns whether it was accepted."""
         try:
             configuration = parse_configuration(body)
         except ServingError:
@@ -61,12 +61,12 @@
         return self._carry_out(command)
 
     def rotate(self, tenant: str, public_keys: Mapping[str, str]) -> bool:
-        """Put the next key of a tenant, sealed for some regions; whether it was taken."""
+        """Put the next key of a tenant, sealed for these regions; returns whether it was accepted."""
         generation = key_in_force(self.state, tenant).generation + 1
         return self._put_key(tenant, make_sealed_key(generation, public_keys, self._make_secret))
 
     def drop(self, tenant: str) -> bool:
-        """Drop what is cached of a tenant; whether the order was taken."""
+        """Drop a tenant's cached data; returns whether the command was accepted."""
         return self._put_key(tenant, SealedKey(key_in_force(self.state, tenant).generation + 1))
 
     def _put_key(self, tenant: str, key: SealedKey) -> bool:
--- a/src/nettledeal/standins/tenant_demonstration.py
+++ b/src/nettledeal/standins/tenant_demonstration.py
@@ -1,10 +1,10 @@
-"""Two tenants on live traffic on loopback, and what each found of the other's: nothing.
+"""Shows on loopback that two tenants under live traffic never hit each other's cache entries.
 
-Three core and three edge machines run as real processes. Keys come late, routes move between backends,
-processes are killed, a region is lost and comes back, keys are rotated in the midst, an edge machine runs an
-older release, a tenant is dropped. The same traffic without separation gives the figure that own reuse is
-held against. Then each guard is broken on purpose, which must be counted. Exit status 0 where all of that
-holds, else 1.
+Three core and three edge machines run as real processes. Keys are created late, routes move between
+backends, processes are killed, a region fails and recovers, keys are rotated under traffic, an edge machine
+runs an older release, and a tenant is dropped. The same traffic without separation gives the baseline for
+own cache reuse. Then a fault is injected into each guard and must be detected. The exit status is 0 if all
+of that holds, else 1.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 PHASE_S = 6.0
 READY_WITHIN_S = 40.0
 KEY_PROPAGATION_S = 1.0
-# The least share of the unseparated figure that own reuse has to reach.
+# The least ratio of own reuse with separation to reuse without it.
 MIN_REUSE_RATIO = 0.95
 OLD_RELEASE_EDGE = 1
 INVALID_REQUESTS = (
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A part of the play and what was found in it."""
+    """A phase of the script and its cache hits; `compared` phases count for the reuse ratio."""
 
     name: str
     compared: bool
@@ -54,7 +54,7 @@
 
 @dataclass
 class DemonstrationRun:
-    """One play of the whole script, with separation or without."""
+    """One run of the script, with or without separation."""
 
     system: TenantSystem
     phase_s: float
@@ -63,7 +63,7 @@
     started_s: float = field(default_factory=time.monotonic)
 
     def run(self) -> None:
-        """All phases; raises ServingError where one does not come to its end in time."""
+        """Run all phases; raises ServingError if one times out."""
         self.bring_up()
         self.phase("keys not yet made", lambda: None, compared=False)
         self.phase("keys made", self.make_keys, compared=False)
@@ -88,11 +88,11 @@
         self.system.traffic.stop()
 
     def compared(self) -> CacheHits:
-        """What was found in the phases that count for reuse."""
+        """The cache hits of the phases that count for the reuse ratio."""
         return _sum([phase.hits for phase in self.phases if phase.compared])
 
     def bring_up(self) -> None:
-        """Start everything with the first configuration, and traffic."""
+        """Start the system with its first configuration, then the traffic."""
         self.system.system.start()
         if not self.system.configure(self.system.places):
             self.violations.append("configuration 1 was refused")
@@ -100,7 +100,7 @@
         self.system.traffic.start()
 
     def phase(self, name: str, begin: Callable[[], None], compared: bool = True) -> None:
-        """Begin a phase, let traffic go on for its length, and note what was found."""
+        """Begin a phase, run traffic for its length, and record the cache hits."""
         earlier_hits = self.system.cache_hits()
         begin()
         gevent.sleep(self.phase_s)
@@ -120,7 +120,7 @@
             gevent.sleep(KEY_PROPAGATION_S)
 
     def move(self, fund: str, bank: str) -> None:
-        """Configure which services the tenants' own routes lead to."""
+        """Configure the services of the tenants' own routes."""
         if not self.system.configure({FUND: fund, BANK: bank}):
             self.violations.append("a move was refused")
 
@@ -159,7 +159,7 @@
 
 
 def main() -> int:
-    """Show it; returns the exit status."""
+    """Run the demonstration; returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--phase", type=float, default=PHASE_S, metavar="SECONDS", help="length of a phase")
     parser.add_argument("--without-faults", action="store_true", help="plant no faults")
@@ -204,7 +204,7 @@
 
 
 def _detects(fault: Fault, phase_s: float) -> bool:
-    """Whether a planted fault is seen."""
+    """Whether an injected fault leads to cross-tenant hits."""
     with tempfile.TemporaryDirectory(prefix="nettledeal-") as folder:
         layout = Layout(Network.of_this_process(2 + list(Fault).index(fault) % 2))
         system = TenantSystem(layout, Path(folder), fault=fault)
--- a/src/nettledeal/standins/tenant_faults.py
+++ b/src/nettledeal/standins/tenant_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the guards of tenants, to show that what counts crossings counts each of them."""
+"""Faults injected into tenant isolation, to show that the count of cross-tenant hits detects each."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 
 class Fault(StrEnum):
-    """One guard that is broken."""
+    """An isolation guard that is broken."""
 
-    KEY_MISSING = "key_missing"  # without a key, the client's ids are used
+    KEY_MISSING = "key_missing"  # without a key, the client's part ids are used as they are
     KEY_OF_ANOTHER = "key_of_another"  # one key serves all tenants
-    STALE_AFTER_MOVE = "stale_after_move"  # what was known of a service when the route was elsewhere
-    HINT_WITHOUT_TENANT = "hint_without_tenant"  # agents share what they looked up, by the client's ids alone
-    BINDING_IGNORED = "binding_ignored"  # a tenant's service changes hands
+    STALE_AFTER_MOVE = "stale_after_move"  # a moved route keeps its first service's rule
+    HINT_WITHOUT_TENANT = "hint_without_tenant"  # agents share headers by the client's ids alone
+    BINDING_IGNORED = "binding_ignored"  # a tenant's service is given to another tenant
 
 
 class Hints(Protocol):
-    """What agents tell each other: headers by the shared part of the client's."""
+    """Headers that agents share, keyed by the shared part of the client's header."""
 
     def get(self, shared: bytes) -> str | None:
-        """The header that another request used."""
+        """The header that an earlier request used."""
 
     def __setitem__(self, shared: bytes, header: str) -> None:
-        """Tell a header."""
+        """Share a header."""
 
 
 def faulty_separate(fault: Fault, hints: Hints) -> Separate:
-    """The separation of prompts with a fault."""
+    """The function that separates prompts, with a fault."""
 
     def by_one_key(tenant: ProvenTenant, _: KeyRing, header: bytes) -> SeparatedPrompt:
         ids = tuple(PromptPart(KEY_OF_ANOTHER.lookup_id(part.id), part.tokens) for part in read_parts(header))
--- a/src/nettledeal/standins/tenant_fleet.py
+++ b/src/nettledeal/standins/tenant_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of agents and backends without input and output, for schedules about tenants.
+"""A fleet of agents and backends without I/O, for simulated schedules of tenants.
 
-The parts are those in service: control state and its published entries, routing table, gate, selection and
-the request as a backend gets it. Time is passed in.
+The parts are the production ones: control state and its published entries, routing table, gate, selection
+and the request as sent to a backend. The caller passes the time.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 ZONES = {"north-1": "north", "south-1": "south"}
 MAX_HEADER_BYTES, MAX_BODY_BYTES = 16_384, 65_536
-# What a data plane of a release without tenants takes of the control source.
+# Keys of the control source that a data plane of the release without tenants reads.
 OLD_RELEASE_KEY_PREFIXES = ("route/", "service/", "evacuation/", "limits", "generation")
 
 
 @dataclass
 class Engine:
-    """One incarnation of a backend and what it keeps."""
+    """One incarnation of a backend and its cache."""
 
     catalogue_entry: Backend
     cache: RecordingCache
 
     def read(self, tenant: str, sent: bytes) -> None:
-        """Take a request as it came over the wire."""
+        """Parse a request as sent over the wire and process its prompt."""
         request = ClientRequest(MAX_HEADER_BYTES, MAX_BODY_BYTES)
         request.read(bytearray(sent), len(sent))
         self.cache.prefill_for(tenant, parse_prompt(request.header(b"prompt-prefix").decode("latin-1")))
@@ -46,7 +46,7 @@
 
 @dataclass
 class Agent:
-    """A data plane: everything of it that a request passes on its way to a backend."""
+    """The parts of a data plane that a request passes on its way to a backend."""
 
     zone: str
     opener: Opener | None
@@ -66,7 +66,7 @@
         self._first_seen: dict[str, bool] = {}
 
     def apply(self, version: int, entries: Mapping[str, bytes], now: float) -> None:
-        """Take a version of the control source."""
+        """Apply a version of the control source."""
         if self.of_old_release:
             entries = {
                 key: value for key, value in entries.items() if key.startswith(OLD_RELEASE_KEY_PREFIXES)
--- a/src/nettledeal/standins/tenant_scenario.py
+++ b/src/nettledeal/standins/tenant_scenario.py
@@ -1,7 +1,7 @@
-"""Two tenants, their routes and services, and their clients' requests, with equal and different material.
+"""Two tenants, their routes and services, and their clients' requests, with common and distinct prompts.
 
-Each tenant has a service of its own, whose backends get the client's ids, and both share a pooled one, whose
-backends take other ids. A route may be moved between its tenant's own service and the pooled one.
+Each tenant has its own service, whose backends get the client's part ids, and both share a pooled one, whose
+backends get rewritten ids. A route may be moved between its tenant's own service and the pooled one.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def own_service(tenant: str) -> str:
-    """The service whose backends serve one tenant only."""
+    """The service that is dedicated to one tenant."""
     return f"{tenant}-own"
 
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What is to be configured; `places` has the service of each tenant's own route."""
+    """Parameters of a configuration; `places` maps each tenant to the service of its own route."""
 
     generation: int
     places: Mapping[str, str]
@@ -54,7 +54,7 @@
 
 
 def make_configuration(plan: Plan) -> bytes:
-    """The configuration of a plan; without separation the same routes and services know no tenants."""
+    """The configuration of a plan; without separation, the same routes and services have no tenants."""
     routes = [_route(plan, tenant, place) for tenant, place in plan.places.items()]
     pooled = _route(plan, ANY_PATH, POOLED)
     routes.append(msgspec.structs.replace(pooled, tenant=None, tenant_by_token=plan.separated))
@@ -71,7 +71,7 @@
 
 
 def request_text(tenant: str, path: str, material: str, request_id: str, extra: bytes = b"") -> bytes:
-    """A client's request, as it comes over the wire."""
+    """A client's request as sent over the wire."""
     return (
         b"POST /%b/new HTTP/1.1\r\nHost: %b\r\nRequest-Id: %b\r\nDeadline-Ms: 5000\r\nModel: m\r\n"
         b"Token-Usage: %d,4\r\nPrompt-Prefix: %b\r\n%bContent-Length: 2\r\n\r\n{}"
@@ -87,17 +87,17 @@
 
 
 def prompt_header(material: str, request_id: str) -> str:
-    """A prompt with two shared parts and one of the request's own."""
+    """A prompt of two shared parts and one that is unique to the request."""
     return f"{material}01:{SHARED_TOKENS},{material}02:{SHARED_TOKENS},{request_id}:{OWN_TOKENS}"
 
 
 def proof(tenant: str) -> bytes:
-    """The lines by which a client proves its tenant."""
+    """The header lines that prove a client's tenant."""
     return b"Tenant: %b\r\nTenant-Token: %b\r\n" % (tenant.encode(), token_of(tenant))
 
 
 def material_of(tenant: str, number: int, of: int = MATERIALS) -> str:
-    """Material by number: the first half of them is equal for all tenants, the rest is each tenant's own."""
+    """The id of a shared prompt; the first half of the numbers is common to all tenants."""
     owner = 0 if number < of // 2 else 1 + TENANTS.index(tenant)
     return f"{owner:02x}{number:02x}"
 
--- a/src/nettledeal/standins/tenant_system.py
+++ b/src/nettledeal/standins/tenant_system.py
@@ -1,4 +1,4 @@
-"""A small serving system on loopback with two tenants: its backends record who put and who found what."""
+"""A small serving system with two tenants on loopback; its backends record cache hits by tenant."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
 BACKEND_ZONES = (Zone.NORTH_1, Zone.NORTH_2, Zone.SOUTH_1)
 FAULTY_PROGRAM = ROOT / "src" / "nettledeal" / "standins" / "faulty_program.py"
 LOST_REGION = "south"
-# Equal material of two tenants meets at one backend by chance; with more of it a fault does not stay unseen.
+# Prompts common to both tenants reach the same backend by chance; with more of them a fault is detected.
 FAULT_MATERIALS = 24
-# The file that came with tenants: the release before it is an older one.
+# The commit that added this file introduced tenants; its parent is the older release.
 FIRST_OF_TENANTS = "src/nettledeal/tenancy/gate.py"
 
 
 @dataclass(frozen=True, slots=True)
 class CacheHits:
-    """What some lookups found, in lookups and in shared tokens."""
+    """Totals over cache lookups, in lookups and in tokens of shared prompt parts."""
 
     lookups: int = 0
     shared_tokens: int = 0
@@ -55,12 +55,12 @@
 
     @property
     def reuse(self) -> float:
-        """The share of shared tokens that a tenant found of its own."""
+        """The share of shared tokens that hit the tenant's own entries."""
         return self.own_hit_tokens / self.shared_tokens if self.shared_tokens else 0.0
 
 
 class TenantSystem:
-    """The system, its clients and what its backends recorded."""
+    """The system, its clients and the cache lookups that its backends recorded."""
 
     def __init__(self, layout: Layout, folder: Path, separated: bool = True, fault: Fault | None = None):
         self.layout = layout
@@ -92,7 +92,7 @@
             process.program = FAULTY_PROGRAM
 
     def configure(self, places: Mapping[str, str]) -> bool:
-        """Put a configuration with these places; whether it was taken."""
+        """Put a configuration with these services per tenant; returns whether it was accepted."""
         plan = Plan(self.generation + 1, places, self._public, self.separated)
         answer = self.system.operator.put_configuration(make_configuration(plan), self.generation)
         if answer.status != 200:
@@ -102,7 +102,7 @@
         return True
 
     def cache_hits(self) -> CacheHits:
-        """All that was found so far."""
+        """The totals of all lookups so far."""
         shared = own = cross_tenant_hits = outside = count = 0
         for zone, lookups in self._recorded:
             region = zone.rpartition("-")[0]
@@ -115,7 +115,7 @@
         return CacheHits(count, shared, own, cross_tenant_hits, outside)
 
     def restart_edge(self, number: int, program: Path | None = None) -> None:
-        """Kill a data plane and start it again, of another release where a program is given."""
+        """Kill a data plane and restart it, with another release if a program is given."""
         edge = self.system.edges[number]
         edge.kill()
         if program is not None:
@@ -124,7 +124,7 @@
         edge.wait_for("dataplane:ready", 30.0, lambda event: event["ready"] is True)
 
     def lose_region(self) -> None:
-        """Kill everything of a region and take its backends off the list; clients go elsewhere."""
+        """Kill all processes of a region and remove its backends from the list; clients use other regions."""
         self.lost = frozenset({LOST_REGION})
         for number, core in enumerate(self.system.cores):
             if self.layout.core_zone(number).region == LOST_REGION:
@@ -138,7 +138,7 @@
         self._list()
 
     def regain_region(self) -> None:
-        """Start the region anew, its backends with empty memories."""
+        """Restart the region, its backends with empty caches."""
         self.lost = frozenset()
         for number, (service, zone) in enumerate(self._positions()):
             if zone.region == LOST_REGION:
@@ -153,7 +153,7 @@
                 edge.wait_for("dataplane:ready", 30.0, lambda event: event["ready"] is True)
 
     def edge_addresses(self) -> list[str]:
-        """Where data planes tell their counts."""
+        """The addresses at which data planes report their counts."""
         settings = [self.layout.edge_settings(number) for number in range(self.layout.edges)]
         return [str(edge.listen.readiness) for edge in settings if edge.region not in self.lost]
 
@@ -195,7 +195,7 @@
 
 
 def older_release(folder: Path) -> Path:
-    """The program of the release before tenants, out of the repository's history. Raises ServingError."""
+    """Extract the last release without tenants from the git history; raises ServingError."""
     try:
         added = _git("log", "--diff-filter=A", "--format=%H", "--", FIRST_OF_TENANTS).split()[-1]
         archive = subprocess.run(
--- a/src/nettledeal/standins/tenant_traffic.py
+++ b/src/nettledeal/standins/tenant_traffic.py
@@ -1,4 +1,4 @@
-"""Clients of two tenants on loopback: they ask at data planes, come back when told, remember who asked."""
+"""Clients of two tenants on loopback, which send to data planes, retry as told and record each sender."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class TenantTraffic:
-    """Requests of all tenants; `frontends` gives the data planes that clients know, with their regions."""
+    """Requests of all tenants; `frontends` returns the data planes that clients use, with their regions."""
 
     def __init__(self, frontends: Frontends, materials: int = MATERIALS, seed: int = 1):
         self.answers: Counter[str] = Counter()
@@ -50,21 +50,21 @@
         self._generator: gevent.Greenlet | None = None
 
     def tenant_of(self, request_id: str) -> str:
-        """Who sent a request."""
+        """The tenant that sent a request."""
         return self._tenants.get(request_id, "")
 
     def start(self) -> None:
-        """Ask from now on."""
+        """Begin to send requests."""
         self._generator = gevent.spawn(self._generate)
 
     def stop(self) -> None:
-        """Ask nothing more, and wait for what is under way."""
+        """Stop sending, and wait for requests in flight."""
         if self._generator is not None:
             self._generator.kill()
         self._in_flight.join(timeout=2 * TIMEOUT_S)
 
     def ask(self, tenant: str, path: str, headers: dict[str, str] | None = None) -> str:
-        """One request of a tenant with all its tries; the last answer's status, or LOST."""
+        """Send one request with its retries; returns the last answer's status, or LOST."""
         material = material_of(tenant, self._random.randrange(self._materials), self._materials)
         answer = LOST
         for attempt in range(MAX_ATTEMPTS):
--- a/src/nettledeal/standins/traffic.py
+++ b/src/nettledeal/standins/traffic.py
@@ -1,4 +1,4 @@
-"""Open-loop traffic of stand-in clients: requests come at their rate, whatever became of those before."""
+"""Open-loop traffic of stand-in clients: arrivals don't depend on whether earlier requests ended."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """How often clients of all zones together send a kind of request, and about how many subjects."""
+    """The rate of a request kind over the clients of all zones, and its number of subjects."""
 
     kind: RequestKind
     requests_per_s: float
@@ -26,35 +26,35 @@
 
 @dataclass
 class Summary:
-    """What became of the requests of one kind in one phase."""
+    """The results of the requests of one kind in one phase."""
 
     phase: str
     kind: str
     outcomes: list[Outcome] = field(default_factory=list)
 
     def count(self, ending: Ending) -> int:
-        """How many ended so."""
+        """The number of requests that ended this way."""
         return sum(outcome.ending is ending for outcome in self.outcomes)
 
     @property
     def retried(self) -> int:
-        """How many took more than one attempt of the client."""
+        """The number of requests that the client retried."""
         return sum(outcome.attempts > 1 for outcome in self.outcomes)
 
     @property
     def first_parts_ms(self) -> list[float]:
-        """Milliseconds until the first part of the answer, ascending, of those served."""
+        """Milliseconds to the first part of the answer, ascending, of served requests."""
         served = (outcome for outcome in self.outcomes if outcome.ending is Ending.SERVED)
         return sorted(outcome.first_part_s * 1000 for outcome in served if outcome.first_part_s is not None)
 
     @property
     def median_ms(self) -> float:
-        """The median of `first_parts_ms`, 0 where there are none."""
+        """The median of `first_parts_ms`, 0 if there are none."""
         return median(self.first_parts_ms or [0.0])
 
 
 class Traffic:
-    """Clients in every zone that send as `demands` say while the traffic runs."""
+    """Clients in every zone that send the requests of `demands`."""
 
     def __init__(self, demands: Iterable[Demand], directories: list[Address], seed: int = 1):
         self.summaries: list[Summary] = []
@@ -66,17 +66,17 @@
         self._generators: list[gevent.Greenlet] = []
 
     def start(self, phase: str) -> None:
-        """Begin to send; what is sent from now on counts to `phase`."""
+        """Begin to send; requests count towards `phase`."""
         self.enter(phase)
         self._generators = [gevent.spawn(self._generate, demand) for demand in self._demands]
 
     def enter(self, phase: str) -> None:
-        """Count what is sent from now on to another phase."""
+        """Count requests sent from now on towards another phase."""
         self._phase = phase
         self.summaries += [Summary(phase, demand.kind.name) for demand in self._demands]
 
     def stop(self) -> None:
-        """Send no more, and wait for what is under way."""
+        """Stop sending, and wait for requests in flight."""
         gevent.killall(self._generators)
         self._in_flight.join()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
 """Tests that KNOWN-RED.txt lists may fail without failing the run; they are printed at its end. Tests are
-split into two lanes (`lanes`), which `--lane` chooses between.
+split into two lanes (`lanes`), selected with `--lane`.
 
-The agent's parts log as in service: structlog's own form for developers renders all locals of a traceback,
-seconds of work for one fault that a test brings about, and tests with a time limit failed by it.
+The agent logs as in production: structlog's developer renderer prints all locals of a traceback, which takes
+seconds per error, so that tests with a time limit failed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from nettledeal.log_setup import configure_log
 
 KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-# A node id up to its comma; those of a parametrized test may hold commas between their brackets.
+# A node id ends at a comma, but the brackets of a parametrized test may contain commas.
 NODE_ID = re.compile(r"[^,\[]+(?:\[.*?\](?=\s*(?:,|$)))?")
 
 
@@ -27,7 +27,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """The listed tests' node ids with the line that explains each."""
+    """Map the node ids of the listed tests to their lines."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
@@ -35,20 +35,20 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Without `--lane` all tests run, one after the other."""
+    """Add the options; without `--lane`, all tests run sequentially."""
     parser.addoption("--lane", choices=(TOGETHER, ALONE), help="run only the tests of this lane")
     parser.addoption("--reports-to", type=Path, help="file for the reports of this run")
     parser.addoption("--reports-from", type=Path, help="file with reports of a run before, counted too")
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Make the marker known."""
+    """Register the marker."""
     config.addinivalue_line("markers", f"{ALONE}: starts processes, uses sockets or measures real time")
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Let exactly the listed tests fail, and leave out those of the other lane."""
+    """Mark exactly the listed tests as xfail, and deselect those of the other lane."""
     listed = known_red()
     for item in items:
         if item.nodeid in listed:
@@ -60,10 +60,10 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_call(item: pytest.Item) -> Iterator[None]:
-    """A test that runs together with others does nothing that wants it alone.
+    """Fail a test of the parallel lane that does something only the sequential lane allows.
 
-    In a run of both lanes in one process, greenlets that an earlier test of the other lane left behind may
-    connect at any moment, so the rule holds where its lane is run.
+    The check applies only in a run of that lane: in a run of both, greenlets left behind by an earlier test
+    of the other lane may connect at any moment.
     """
     if item.config.getoption("--lane") != TOGETHER:
         return (yield)
@@ -78,9 +78,9 @@
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
-    """Print the list, so that no run passes over them in silence, and count the other lane's tests.
+    """Print the known failures, so that no run hides them, and count the other lane's tests.
 
-    A collection runs nothing: its lines are node ids only.
+    Nothing is printed with --collect-only, whose output is node ids only.
     """
     config, stats = terminalreporter.config, terminalreporter.stats
     if config.getoption("collectonly"):
--- a/tests/lane_reports.py
+++ b/tests/lane_reports.py
@@ -1,4 +1,4 @@
-"""Hands the reports of one lane's run to the next one, so that its closing lines count the tests of both."""
+"""Passes the reports of one lane's run to the next run, so that its summary counts both lanes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def save(config: pytest.Config, stats: dict[str, list], file: Path) -> None:
-    """Write all reports that the closing line counts."""
+    """Write all reports that the summary line counts."""
     kept = {}
     for outcome in COUNTED:
         reports = [report for report in stats.get(outcome, []) if isinstance(report, pytest.TestReport)]
@@ -24,7 +24,7 @@
 
 
 def add(config: pytest.Config, stats: dict[str, list], file: Path) -> None:
-    """Count the reports of that file as well."""
+    """Add the reports of that file to this run's."""
     for outcome, reports in json.loads(file.read_text()).items():
         read = [config.hook.pytest_report_from_serializable(config=config, data=one) for one in reports]
         if read:
--- a/tests/system/command_line_support.py
+++ b/tests/system/command_line_support.py
@@ -1,4 +1,4 @@
-"""Calls of the command line in this process."""
+"""Runs command line calls in this process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Ended:
-    """How a call ended."""
+    """The result of a call."""
 
     returncode: int
     stdout: str
@@ -20,7 +20,7 @@
 
 
 def call(context, text: str) -> Ended:
-    """Call the command line; names in capitals stand for paths of the scenario."""
+    """Call the command line; upper-case words are replaced by the scenario's paths."""
     paths = getattr(context, "paths", {})
     arguments = [str(paths.get(word, word)) for word in shlex.split(text)]
     out, err = io.TextIOWrapper(io.BytesIO()), io.StringIO()
--- a/tests/system/cut_program.py
+++ b/tests/system/cut_program.py
@@ -1,8 +1,10 @@
-"""The system's program with links that a test cuts: the file SETTINGS.cuts lists, a line each, `in HOST` for
-hosts from which nothing arrives and `out HOST` for those to which nothing goes.
+"""The system's program with network partitions that a test controls.
 
-As with a cut network, a connection says nothing while it is cut; it ends once it was cut for longer than its
-sender waits, and what was on its way is lost with it.
+Each line of the file SETTINGS.cuts drops one direction: `in HOST` for traffic from a host, `out HOST` for
+traffic to it.
+
+As in a real partition, a cut connection stays silent; it breaks, and loses data in flight, if the cut lasts
+longer than its sender's timeout.
 """
 
 from __future__ import annotations
@@ -19,17 +21,17 @@
 from nettledeal.common.settings import SETTINGS_VARIABLE
 from nettledeal.control import mesh
 
-CHECK_S = 0.02
-GIVEN_UP_S = 1.5
+CHECK_INTERVAL_S = 0.02
+BREAK_AFTER_S = 1.5
 
 
 def cuts_path(settings_path: Path) -> Path:
-    """Where the cuts of a process are listed."""
+    """The file that lists the cuts of a process."""
     return settings_path.with_suffix(".cuts")
 
 
 class Cuts:
-    """The present cuts, read again whenever the file changes."""
+    """The current cuts; the file is read again every CHECK_INTERVAL_S."""
 
     def __init__(self, path: Path):
         self._path = path
@@ -37,24 +39,24 @@
         self._cuts: set[str] = set()
 
     def holds(self, direction: str, host: str) -> bool:
-        """Whether nothing passes in that direction."""
+        """Whether this direction is cut."""
         now = time.monotonic()
-        if now - self._read_at >= CHECK_S:
+        if now - self._read_at >= CHECK_INTERVAL_S:
             self._read_at = now
             self._cuts = set(self._path.read_text().splitlines()) if self._path.exists() else set()
         return f"{direction} {host}" in self._cuts
 
     def wait(self, direction: str, host: str) -> None:
-        """Return when the way is open; raises ServingError where a connection would have ended meanwhile."""
+        """Wait until a direction is open; raises ServingError if a connection would have broken meanwhile."""
         began = time.monotonic()
         while self.holds(direction, host):
-            gevent.sleep(CHECK_S)
-        if time.monotonic() - began > GIVEN_UP_S:
+            gevent.sleep(CHECK_INTERVAL_S)
+        if time.monotonic() - began > BREAK_AFTER_S:
             raise ServingError(ErrorCode.CONNECTION_LOST, "cut", peer=host)
 
 
 def install(cuts: Cuts) -> None:
-    """Have connections between processes obey the cuts."""
+    """Apply the cuts to connections between processes."""
     send, receive, connect = FrameConnection.send, FrameConnection.receive, connections.connect
 
     def cut_send(self, message):
--- a/tests/system/drawn_deployment.py
+++ b/tests/system/drawn_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of any size, drawn from a seed: places, backends, configurations."""
+"""A generated deployment of any size: zones, backends and configurations from a seed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def zone_of(number: int) -> str:
-    """The zone of the machine of that number."""
+    """The zone of a machine by its number."""
     return f"zone-{number % ZONES:02d}"
 
 
@@ -53,7 +53,7 @@
 
 
 def configuration(routes: int, random: Random, generation: int = 1) -> Configuration:
-    """A configuration with one route a tenant."""
+    """A configuration with one route per tenant."""
     return Configuration(
         generation=generation,
         routes=[_route(number, random) for number in range(routes)],
--- a/tests/system/later_release.py
+++ b/tests/system/later_release.py
@@ -1,6 +1,6 @@
-"""A program of a later release: its internal messages and packets have fields that this one doesn't know.
+"""A program of a later release, whose internal messages and packets have fields unknown to this one.
 
-Started in place of `nettledeal_system.py`, it shows whether processes of both releases serve together.
+Started in place of `nettledeal_system.py`, it tests that processes of both releases interoperate.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def extended(value: Any) -> Any:
-    """Plain values of a message, with one field more in each struct at every depth."""
+    """Convert a message to plain values and add a field to each struct at every depth."""
     if isinstance(value, msgspec.Struct):
         return _extended_struct(value)
     if isinstance(value, dict):
@@ -39,7 +39,7 @@
 
 
 def use_later_release() -> None:
-    """Have everything that this process sends carry the fields of a later release."""
+    """Patch the codecs so that all sent messages carry the later release's fields."""
     MessageCodec.encode = lambda self, message: cbor2.dumps(extended(message))
     CborCodec.encode = lambda self, value: cbor2.dumps(extended(value))
 
--- a/tests/system/operator_api_support.py
+++ b/tests/system/operator_api_support.py
@@ -1,4 +1,4 @@
-"""A control plane kept in memory, for tests of the operator's API."""
+"""An in-memory control plane for tests of the operator API."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class MemoryNode:
-    """Judges commands as the control plane does; may be deposed, held up, or made to lose its answers."""
+    """Decides commands as the control plane does; can be deposed, delayed, or made to time out."""
 
     def __init__(self, address="10.0.0.1:8166"):
         self.is_primary = True
         self.primary_address = address
         self.state = ControlState()
         self.submitted = []
-        self.open = Event()  # commands wait for it before they are carried out
+        self.open = Event()  # commands wait for it before they are executed
         self.open.set()
-        self.deposed = False  # without knowing it
+        self.deposed = False  # a new primary exists, but this node has not noticed
         self.age_s = 0.1
 
     def confirmed_age_s(self):
--- a/tests/system/order_processes.py
+++ b/tests/system/order_processes.py
@@ -1,7 +1,7 @@
-"""Operators at real core processes in trouble; run as a module it plays a seed for as long as it is told.
+"""Fault injection for operators' commands to real core processes; runs as a module with given seeds.
 
-Processes are killed, stand still, are stopped and started, lose their disks, and are cut off from each other,
-whole or one way. Every answer of every machine goes into a history that is checked at the end.
+Processes are killed, suspended, restarted, lose their disks, or are partitioned in both directions or one.
+All answers of all machines are recorded in a history, which is checked for linearizability at the end.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 
 PROGRAM = Path(__file__).with_name("cut_program.py")
 BOUNDS = Bounds(contact_ms=2000.0, ack_ms=2000.0, grace_s=4.0)
-CALL_S = 1.2
+CALL_TIMEOUT_S = 1.2
 OPERATORS = 4
-DARK_ORDERS = 300
-TROUBLES = ("kill", "freeze", "restart", "lose_disk", "cut", "cut")
+ORDERS_DURING_OUTAGE = 300
+FAULTS = ("kill", "freeze", "restart", "lose_disk", "cut", "cut")
 SETTLE_S = 8.0
 ANSWERS = {200: Answer.ACKNOWLEDGED, 400: Answer.REFUSED, 412: Answer.REFUSED}
 FIRST_BODY = make_body(1)
 
 
 class Operator:
-    """Sends orders, each to one machine after the other until it has a clear answer, and reads between."""
+    """Sends commands, each to random machines until it gets a definite answer, and reads in between."""
 
     def __init__(self, name: str, trial: Trial):
         self.name, self.trial = name, trial
@@ -51,10 +51,10 @@
 
     def run(self) -> None:
         while not self.trial.over:
-            what = self.random.random()
-            if what < 0.4:
+            choice = self.random.random()
+            if choice < 0.4:
                 self.read(self.any_address())
-            elif what < 0.5:
+            elif choice < 0.5:
                 self.evacuate()
             else:
                 self.order()
@@ -83,7 +83,7 @@
         history.puts.append(Put(name, expected, generation, began, FOREVER, Answer.UNCLEAR))
         status = self.call(address, HTTPMethod.PUT, CONFIGURATION_PATH, body, expected)
         answer = ANSWERS.get(status, Answer.UNCLEAR)
-        # An answer that is lost on its way is an unclear one.
+        # Simulates an answer that is lost on its way.
         if self.random.random() < 0.2:
             answer = Answer.UNCLEAR
         history.puts[position] = Put(name, expected, generation, began, time.monotonic(), answer)
@@ -109,13 +109,13 @@
     def call(
         self, address: Address, method: HTTPMethod, path: str, body: bytes = b"", expected: int = 0
     ) -> int:
-        """The status after at most one redirection, 0 where there is none."""
+        """The status after at most one redirect; 0 if there is no answer."""
         if body:
             self.trial.generations[body] = self.trial.generation_of(body)
         for _ in range(2):
             client = HttpClient(address)
             try:
-                response = client.request(method, path, CALL_S, body, {"If-Match": str(expected)})
+                response = client.request(method, path, CALL_TIMEOUT_S, body, {"If-Match": str(expected)})
             except ServingError:
                 return 0
             finally:
@@ -129,7 +129,7 @@
 
 
 class Trial:
-    """A small system's core machines, their troubles and the operators' history."""
+    """Runs operators against the core machines of a small system under injected faults."""
 
     def __init__(self, seed: int, folder: Path, network: int = 0, program: Path = PROGRAM):
         self.random = Random(f"{seed} processes")
@@ -139,7 +139,7 @@
         self.history = History()
         self.generations: dict[bytes, int] = {}
         self.over = False
-        self.troubles = 0
+        self.fault_count = 0
         for process in self.system.processes:
             process.program = program
 
@@ -147,57 +147,57 @@
     def generation_of(body: bytes) -> int:
         return int(body.partition(b'"generation":')[2].partition(b",")[0].partition(b"}")[0])
 
-    def play(self, length_s: float, troubles: Sequence[str] = TROUBLES) -> list[str]:
-        """What did not hold."""
+    def play(self, length_s: float, faults: Sequence[str] = FAULTS) -> list[str]:
+        """Run for this long; returns the violations found in the history."""
         self.system.start()
         began = time.monotonic()
         self.system.operator.put_configuration(FIRST_BODY, 0)
         self.history.puts.append(Put(FIRST_BODY.decode(), 0, 1, began, time.monotonic(), Answer.ACKNOWLEDGED))
         self.generations[FIRST_BODY] = 1
         operators = [Operator(f"o{number}", self) for number in range(OPERATORS)]
-        running = [gevent.spawn(operator.run) for operator in operators]
-        until = time.monotonic() + length_s
-        while time.monotonic() < until:
+        greenlets = [gevent.spawn(operator.run) for operator in operators]
+        ends_at = time.monotonic() + length_s
+        while time.monotonic() < ends_at:
             gevent.sleep(0.5 + self.random.random())
-            self.trouble(troubles)
-        self.await_whole()
+            self.inject_fault(faults)
+        self.wait_until_in_sync()
         gevent.sleep(1.0)
         self.over = True
-        gevent.joinall(running, raise_error=True)
+        gevent.joinall(greenlets, raise_error=True)
         status = self.system.primary_status()
         return self.history.faults(frozenset(status.control.evacuated_zones))
 
-    def await_whole(self) -> None:
+    def wait_until_in_sync(self) -> None:
         wait_until(
             lambda: len(self.system.primary_status().epoch.in_sync) == len(self.system.cores),
             30.0,
             "all cores are in sync",
         )
 
-    def trouble(self, among: Sequence[str]) -> None:
-        """One trouble at a time, each over and healed before the next: one machine may be lost."""
-        self.troubles += 1
+    def inject_fault(self, faults: Sequence[str]) -> None:
+        """Inject one fault and wait for recovery: only one machine may be lost at a time."""
+        self.fault_count += 1
         victim = self.random.choice(self.system.cores)
         if self.random.random() < 0.6:
-            victim = self.primary_or(victim)
-        getattr(self, self.random.choice(among))(victim)
-        self.await_whole()
+            victim = self.primary_or_else(victim)
+        getattr(self, self.random.choice(faults))(victim)
+        self.wait_until_in_sync()
 
-    def primary_or(self, other: SystemProcess) -> SystemProcess:
+    def primary_or_else(self, other: SystemProcess) -> SystemProcess:
         try:
             return self.system.primary()
         except ServingError:
             return other
 
-    def darken(self, other: SystemProcess) -> None:
-        """A backup is gone through hundreds of changes; soon after it is whole again the primary dies."""
-        primary = self.primary_or(other)
+    def backup_outage(self, other: SystemProcess) -> None:
+        """A backup misses hundreds of changes; soon after it has caught up, the primary is killed."""
+        primary = self.primary_or_else(other)
         backup = next(core for core in self.system.cores if core is not primary)
         backup.kill()
         before = len(self.history.puts)
-        wait_until(lambda: len(self.history.puts) > before + DARK_ORDERS, 30.0, "orders are sent")
+        wait_until(lambda: len(self.history.puts) > before + ORDERS_DURING_OUTAGE, 30.0, "orders are sent")
         backup.start()
-        self.await_whole()
+        self.wait_until_in_sync()
         primary.kill()
         gevent.sleep(self.random.random() * 2)
         primary.start()
@@ -223,23 +223,30 @@
         self.system.restart_cores()
 
     def cut(self, process: SystemProcess) -> None:
-        """Cut one off whole, or one way."""
-        ways = self.random.choice((("in", "out"), ("in",), ("out",)))
-        self.cut_ways(process, ways, self.random.choice((1.0, 4.0, 8.0)) * (0.5 + self.random.random()))
+        """Partition one machine from the others, in both directions or one."""
+        directions = self.random.choice((("in", "out"), ("in",), ("out",)))
+        self.partition(
+            process, directions, self.random.choice((1.0, 4.0, 8.0)) * (0.5 + self.random.random())
+        )
 
     def isolate_primary(self, other: SystemProcess) -> None:
-        """Cut the primary off whole for long."""
-        self.cut_ways(self.primary_or(other), ("in", "out"), 5.0)
+        """Partition the primary from the others in both directions."""
+        self.partition(self.primary_or_else(other), ("in", "out"), 5.0)
 
-    def cut_ways(self, process: SystemProcess, ways: Sequence[str], span_s: float) -> None:
-        """What is cut at one end is cut at the other."""
+    def partition(self, process: SystemProcess, directions: Sequence[str], span_s: float) -> None:
+        """Cut these directions of a process at both ends, then heal them."""
         hosts = {core: self.system.layout.core_host(number) for number, core in enumerate(self.system.cores)}
         opposite = {"in": "out", "out": "in"}
         for core, host in hosts.items():
             if core is process:
-                lines = [f"{way} {other}" for way in ways for other in hosts.values() if other != host]
+                lines = [
+                    f"{direction} {other}"
+                    for direction in directions
+                    for other in hosts.values()
+                    if other != host
+                ]
             else:
-                lines = [f"{opposite[way]} {hosts[process]}" for way in ways]
+                lines = [f"{opposite[direction]} {hosts[process]}" for direction in directions]
             cuts_path(core.settings_path).write_text("\n".join(lines))
         gevent.sleep(span_s)
         for core in hosts:
@@ -248,23 +255,23 @@
 
 def main() -> int:
     """`python -m tests.system.order_processes SECONDS SEED...`"""
-    bad = 0
+    failed_seeds = 0
     for seed in map(int, sys.argv[2:]):
         with TemporaryDirectory() as folder:
             trial = Trial(seed, Path(folder))
             try:
-                found = trial.play(float(sys.argv[1]))
+                violations = trial.play(float(sys.argv[1]))
             finally:
                 trial.system.stop()
-        bad += bool(found)
+        failed_seeds += bool(violations)
         history = trial.history
         print(
-            f"seed {seed}: {trial.troubles} troubles, {len(history.puts)} orders,",
+            f"seed {seed}: {trial.fault_count} troubles, {len(history.puts)} orders,",
             f"{len(history.reads)} reads:",
-            found or "one order of events explains all answers",
+            violations or "one order of events explains all answers",
             flush=True,
         )
-    return 1 if bad else 0
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/system/stale_program.py
+++ b/tests/system/stale_program.py
@@ -1,4 +1,4 @@
-"""The program of `cut_program` with a fault: a primary answers reads without asking the others."""
+"""The program of `cut_program` with a fault: the primary answers reads without a quorum."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def read_unconfirmed(self, now: float, call_id: int) -> None:
-    """Answer from the own copy."""
+    """Answer from the local state without confirmation."""
     self._outbox.answer(call_id, self._replicated.committed)
 
 
--- a/tests/system/test_order_processes.py
+++ b/tests/system/test_order_processes.py
@@ -1,4 +1,4 @@
-"""Operators at real core processes that are killed, frozen, wiped and cut off."""
+"""Operators' commands to real core processes that are killed, suspended, wiped and partitioned."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
         assert trial.play(15.0) == []
     finally:
         trial.system.stop()
-    assert trial.troubles >= 3
+    assert trial.fault_count >= 3
     assert len(trial.history.reads) > 100
 
 
-def test_a_backup_that_was_dark_through_hundreds_of_changes_catches_up_and_may_lead(tmp_path):
+def test_a_backup_that_missed_hundreds_of_changes_catches_up_and_may_become_primary(tmp_path):
     trial = Trial(5, tmp_path, network=3)
     try:
-        assert trial.play(2.0, troubles=("darken",)) == []
+        assert trial.play(2.0, faults=("backup_outage",)) == []
     finally:
         trial.system.stop()
     assert len(trial.history.puts) > 300
@@ -31,6 +31,6 @@
 def test_a_primary_that_answers_reads_alone_is_caught(tmp_path):
     trial = Trial(3, tmp_path, network=2, program=STALE_PROGRAM)
     try:
-        assert trial.play(8.0, troubles=("isolate_primary",))
+        assert trial.play(8.0, faults=("isolate_primary",))
     finally:
         trial.system.stop()
