--- a/tests/test_deployment_change.py
+++ b/tests/test_deployment_change.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers import SECOND, Drive, answers, attempts, settings
-from test_program import TOLD, changed
+from test_program import CONFIG, config_with
 from test_router import RouterRig
 
 from nettledeal.configuration import parse_configuration
@@ -151,17 +151,17 @@
 def test_settings_of_the_decision_module_are_validated(path, value):
     key = "settings." + path
     with pytest.raises(ConfigError, match=key):
-        parse_configuration(changed(key, value), {})
+        parse_configuration(config_with(key, value), {})
 
 
 def test_infinite_numbers_are_rejected():
     with pytest.raises(ConfigError):
-        parse_configuration(changed("settings.tariffs.connection", 0.5).replace(b"0.5", b"1e999"), {})
+        parse_configuration(config_with("settings.tariffs.connection", 0.5).replace(b"0.5", b"1e999"), {})
 
 
 def test_omitted_settings_change_nothing():
-    plain = parse_configuration(json.dumps(TOLD).encode(), {})
-    more = changed("settings.me", 3, ("settings.weights", "live"), ("settings.tariffs.connection", 0.03))
+    plain = parse_configuration(json.dumps(CONFIG).encode(), {})
+    more = config_with("settings.me", 3, ("settings.weights", "live"), ("settings.tariffs.connection", 0.03))
     assert check_replacement(plain, parse_configuration(more, {})) is None
     drive = Drive([Listing(f"b{n}") for n in range(30)])
     assert drive.balancer.state.subsets[0] == drive.balancer.state.near
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Processes of one agent: what they are to each other, where they meet, what one leaves to the next."""
+"""Handover between processes of one agent: their records, the folder, and the learned state."""
 
 import os
 import signal
@@ -15,141 +15,143 @@
 from nettledeal.net.transport.handover_folder import HandoverFolder
 
 
-def process(id, born, state=SERVING, agent="n1", listen="127.0.0.1:1"):
+def handover(id, born, state=SERVING, agent="n1", listen="127.0.0.1:1"):
     found = Handover(id, agent, listen, born)
     found.own_record.state = state
     return found
 
 
-def shown(*processes):
+def records_of(*processes):
     return [parse_record(msgspec.json.encode(one.own_record)) for one in processes]
 
 
 @pytest.mark.parametrize(
-    ("state", "born", "heir", "processes"),
+    ("state", "born", "has_successor", "processes"),
     [
-        (STARTING, 2, False, 2),  # it has not said yes: the old one serves on, with half of the limits
+        (STARTING, 2, False, 2),  # it does not serve yet: the old one serves on, with half of the limits
         (SERVING, 2, True, 2),
         (LEAVING, 2, False, 2),
-        (SERVING, 0, False, 2),  # the older one is nobody's heir
+        (SERVING, 0, False, 2),  # an older process is no successor
     ],
 )
-def test_who_succeeds_whom(state, born, heir, processes):
-    me = process("a", 1)
-    me.merge_records(shown(process("b", born, state)))
-    assert (me.has_successor, me.process_count) == (heir, processes)
-    me.merge_records([])  # crashed, before its yes or after
+def test_only_a_younger_serving_process_is_a_successor(state, born, has_successor, processes):
+    me = handover("a", 1)
+    me.merge_records(records_of(handover("b", born, state)))
+    assert (me.has_successor, me.process_count) == (has_successor, processes)
+    me.merge_records([])  # it crashed, before it served or after
     assert (me.has_successor, me.process_count) == (False, 1)
 
 
-@pytest.mark.parametrize("other", [process("b", 2, agent="n2"), process("b", 2, listen="127.0.0.1:2")])
-def test_records_of_another_agent_or_address_count_for_nothing(other):
-    me = process("a", 1)
+@pytest.mark.parametrize("other", [handover("b", 2, agent="n2"), handover("b", 2, listen="127.0.0.1:2")])
+def test_records_of_another_agent_or_address_are_ignored(other):
+    me = handover("a", 1)
     other.record_order("s1", True, 5)
-    assert me.merge_records(shown(other)) == {}
+    assert me.merge_records(records_of(other)) == {}
     assert (me.has_successor, me.process_count) == (False, 1)
 
 
-def test_one_that_comes_twice_is_counted_and_the_youngest_is_the_heir():
-    first, second, third = process("a", 1), process("b", 2), process("c", 3)
-    first.merge_records(shown(second, third))
-    third.merge_records(shown(first, second))
+def test_all_processes_are_counted_and_the_youngest_has_no_successor():
+    first, second, third = handover("a", 1), handover("b", 2), handover("c", 3)
+    first.merge_records(records_of(second, third))
+    third.merge_records(records_of(first, second))
     assert (first.process_count, first.has_successor, third.has_successor) == (3, True, False)
 
 
-def test_an_order_given_to_either_binds_both_and_is_confirmed():
-    old, new = process("a", 1), process("b", 2)
+def test_order_to_either_process_applies_to_both_and_is_confirmed():
+    old, new = handover("a", 1), handover("b", 2)
     for here, there in ((old, new), (new, old)):
-        here.merge_records(shown(there))
+        here.merge_records(records_of(there))
         at = here.record_order("s1", here is old, 100)
         assert not here.is_confirmed(at)
-        assert there.merge_records(shown(here)) == {"s1": here is old}
-        here.merge_records(shown(there))
-        assert not here.is_confirmed(at), "heard of is not yet in force"
+        assert there.merge_records(records_of(here)) == {"s1": here is old}
+        here.merge_records(records_of(there))
+        assert not here.is_confirmed(at), "received, but not yet in force"
         there.acknowledge_orders()
-        here.merge_records(shown(there))
+        here.merge_records(records_of(there))
         assert here.is_confirmed(at)
-        assert there.merge_records(shown(here)) == {}, "once"
+        assert there.merge_records(records_of(here)) == {}, "applied twice"
     here.merge_records([])
-    assert here.is_confirmed(10**9), "nobody is left to ask"
+    assert here.is_confirmed(10**9), "no other process is left"
 
 
-def test_the_later_order_holds_whatever_the_clocks_say():
-    old, new = process("a", 1), process("b", 2)
+def test_later_order_wins_whatever_the_clocks_say():
+    old, new = handover("a", 1), handover("b", 2)
     old.record_order("s1", True, 1000)
-    assert new.merge_records(shown(old)) == {"s1": True}
+    assert new.merge_records(records_of(old)) == {"s1": True}
     new.record_order("s1", False, 3)  # its clock is behind
-    assert old.merge_records(shown(new)) == {"s1": False}
-    assert new.merge_records(shown(old)) == {}
+    assert old.merge_records(records_of(new)) == {"s1": False}
+    assert new.merge_records(records_of(old)) == {}
 
 
-def test_a_successor_of_the_successor_knows_what_the_first_was_told():
-    first, second, third = process("a", 1), process("b", 2), process("c", 3)
+def test_orders_reach_the_successor_of_a_successor():
+    first, second, third = handover("a", 1), handover("b", 2), handover("c", 3)
     first.record_order("s1", True, 1)
-    second.merge_records(shown(first))
+    second.merge_records(records_of(first))
     second.acknowledge_orders()
-    assert third.merge_records(shown(second)) == {"s1": True}
+    assert third.merge_records(records_of(second)) == {"s1": True}
 
 
-def test_orders_that_ask_for_nothing_do_not_pile_up():
-    me = process("a", 1)
+def test_number_of_remembered_uncordons_is_bounded():
+    me = handover("a", 1)
     me.record_order("kept", True, 1)
     for n in range(500):
         me.record_order(f"s{n}", False, n)
     assert len(me.own_record.orders) < 100 and me.own_record.orders["kept"][1]
 
 
-WHOLE = msgspec.json.encode(process("a", 1).own_record)
+VALID_RECORD = msgspec.json.encode(handover("a", 1).own_record)
 
 
-@pytest.mark.parametrize("end", range(0, len(WHOLE) - 1, 7))
-def test_a_torn_record_is_none(end):
-    assert parse_record(WHOLE[:end]) is None
+@pytest.mark.parametrize("end", range(0, len(VALID_RECORD) - 1, 7))
+def test_truncated_record_is_ignored(end):
+    assert parse_record(VALID_RECORD[:end]) is None
 
 
 @pytest.mark.parametrize(
-    "raw", [b"", b"null", b"[]", b"{}", b"\xff\xfe", WHOLE.replace(b'"a"', b"7"), bytes(99)]
+    "raw", [b"", b"null", b"[]", b"{}", b"\xff\xfe", VALID_RECORD.replace(b'"a"', b"7"), bytes(99)]
 )
-def test_what_is_no_record_is_none(raw):
+def test_invalid_record_is_ignored(raw):
     assert parse_record(raw) is None
 
 
-def test_a_newer_record_says_who_and_what_state_it_is_and_no_more():
-    told = msgspec.json.decode(WHOLE) | {"version": VERSION + 1, "orders": "otherwise", "heard": 3}
-    me = process("z", 0)
-    assert me.merge_records([parse_record(msgspec.json.encode(told))]) == {}
+def test_only_the_envelope_of_a_newer_record_is_read():
+    newer = msgspec.json.decode(VALID_RECORD) | {"version": VERSION + 1, "orders": "otherwise", "heard": 3}
+    me = handover("z", 0)
+    assert me.merge_records([parse_record(msgspec.json.encode(newer))]) == {}
     assert me.has_successor and me.is_confirmed(5)
 
 
-# The folder.
+# The shared folder.
 
 
-def write(folder, one):
+def write_record(folder, one):
     folder.write(msgspec.json.encode(one.own_record))
 
 
-def test_processes_that_live_are_found_and_their_records_are_whole(tmp_path):
+def test_live_processes_are_found_and_truncated_records_left_out(tmp_path):
     one, other = HandoverFolder(tmp_path, "a"), HandoverFolder(tmp_path, "b")
-    assert one.read_others(parse_record) == [] and one.has_others, "it lives, and has said nothing yet"
-    write(other, process("b", 2))
+    assert one.read_others(parse_record) == [] and one.has_others, (
+        "it is alive, but has written no record yet"
+    )
+    write_record(other, handover("b", 2))
     assert [record.id for record in one.read_others(parse_record)] == ["b"]
-    (tmp_path / "nettledeal-b.record").write_bytes(WHOLE[:30])
+    (tmp_path / "nettledeal-b.record").write_bytes(VALID_RECORD[:30])
     assert one.read_others(parse_record) == []
     other.remove()
     assert one.read_others(parse_record) == [] and not one.has_others
 
 
-def test_what_the_dead_have_left_goes(tmp_path):
+def test_files_of_dead_processes_are_deleted(tmp_path):
     one = HandoverFolder(tmp_path, "a")
     other = HandoverFolder(tmp_path, "b")
-    write(other, process("b", 2))
-    os.close(other.lock_fd)  # as the kernel does, however it died
+    write_record(other, handover("b", 2))
+    os.close(other.lock_fd)  # as the kernel does when a process dies
     (tmp_path / "foreign").write_text("x")
     assert one.read_others(parse_record) == []
     assert sorted(place.name for place in tmp_path.iterdir()) == ["foreign", "nettledeal-a.lock"]
 
 
-def test_alone_there_is_nothing_to_look_at(tmp_path):
+def test_lone_process_sees_no_change(tmp_path):
     one = HandoverFolder(tmp_path, "a")
     one.read_others(parse_record)
     assert not one.may_have_changed
@@ -157,7 +159,7 @@
     assert one.may_have_changed
 
 
-def test_a_killed_process_does_not_live(tmp_path):
+def test_killed_process_is_not_alive(tmp_path):
     one = HandoverFolder(tmp_path, "a")
     code = (
         "import sys, time; from pathlib import Path\n"
@@ -180,10 +182,10 @@
     other.stdout.close()
 
 
-# What is left to the next.
+# The learned state that a process leaves to its successor.
 
 
-def grown():
+def trained_drive():
     drive = Drive()
     for n in range(200):
         for attempt in attempts(drive.take(n % 2)):
@@ -194,8 +196,8 @@
     return drive
 
 
-def test_what_was_learned_goes_on_with_its_age():
-    old = grown()
+def test_learned_state_is_imported_with_its_age():
+    old = trained_drive()
     whole = old.balancer.admission.limit
     old.balancer.set_processes(2)
     left = msgspec.json.decode(msgspec.json.encode(export_learned(old.balancer, old.now)))
@@ -208,7 +210,7 @@
             mine.samples,
             mine.usual_wait,
         )
-    # A part each, and the whole for the one that is left.
+    # Two processes have half of the limit each; the last one has all of it.
     assert new.balancer.admission.limit == old.balancer.admission.limit == whole / 2
     new.balancer.set_processes(1)
     assert new.balancer.admission.limit == whole
@@ -218,8 +220,8 @@
 
 
 @pytest.mark.parametrize("listing", [Listing("b1", started_at=1), Listing("other")])
-def test_it_never_outlives_a_backends_id_or_start(listing):
-    old = grown()
+def test_state_of_a_restarted_or_removed_backend_is_not_imported(listing):
+    old = trained_drive()
     left = export_learned(old.balancer, old.now)
     new = Drive([listing], now=old.now)
     assert import_learned(new.balancer, new.now, left)
@@ -227,8 +229,8 @@
     assert not b.log_slowness and not b.distrust
 
 
-def test_one_put_back_meanwhile_keeps_nothing_of_before():
-    old = grown()
+def test_state_of_a_backend_uncordoned_meanwhile_is_not_imported():
+    old = trained_drive()
     left = export_learned(old.balancer, old.now)
     new = Drive(now=old.now)
     new.balancer.cordon(new.now, "b2")
@@ -251,14 +253,14 @@
         {"backends": 5},
     ],
 )
-def test_a_legacy_that_makes_no_sense_changes_nothing(change):
-    old, new = grown(), Drive()
+def test_invalid_learned_state_changes_nothing(change):
+    old, new = trained_drive(), Drive()
     before = export_learned(new.balancer, new.now)
     assert not import_learned(new.balancer, new.now, export_learned(old.balancer, old.now) | change)
     assert export_learned(new.balancer, new.now) == before
 
 
-def test_processes_share_what_a_cold_backend_bears():
+def test_processes_share_the_budget_of_a_cold_backend():
     def pushed(drives):
         out = 0
         for drive in drives:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Every module of the tree can be imported: a name changed in one part fails here for all its users."""
+"""Every module can be imported: a name that was changed but not in all its users fails here."""
 
 import ast
 import os
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).parent.parent / "src"
-# In a process of its own: the agent's module changes what signals do to the process that imports it.
+# Runs in its own process, as importing the agent's module blocks signals in the process.
 IMPORT_ALL = """
 import importlib, sys
 for name in sys.argv[1:]:
@@ -20,7 +20,7 @@
 
 def module_names() -> list[str]:
     files = (file.relative_to(SOURCE) for file in SOURCE.rglob("*.py"))
-    # Those named __main__ run a program when they are imported.
+    # Modules named __main__ run a program when they are imported.
     files = [file for file in files if file.stem not in ("__main__", "nettledeal_system")]
     return sorted(".".join(file.with_suffix("").parts).removesuffix(".__init__") for file in files)
 
@@ -38,8 +38,8 @@
     assert (run.returncode, run.stdout, run.stderr) == (0, "", "")
 
 
-def imported(file: Path, names: set[str]) -> set[str]:
-    """The modules that a file imports, also for annotations and inside functions."""
+def imported_modules(file: Path, names: set[str]) -> set[str]:
+    """The modules that a file imports, also those for annotations or inside functions."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -49,27 +49,27 @@
     return found & names
 
 
-def circles(imports: dict[str, set[str]]) -> set[tuple[str, ...]]:
-    """Groups of modules that import each other, directly or not."""
-    reached = {name: set(found) for name, found in imports.items()}
-    growing = True
-    while growing:
-        growing = False
-        for found in reached.values():
-            further = set().union(*(reached[name] for name in found)) - found
-            growing |= bool(further)
-            found |= further
+def import_cycles(imports: dict[str, set[str]]) -> set[tuple[str, ...]]:
+    """Groups of modules that import each other, directly or indirectly."""
+    reachable = {name: set(found) for name, found in imports.items()}
+    changed = True
+    while changed:
+        changed = False
+        for found in reachable.values():
+            new = set().union(*(reachable[name] for name in found)) - found
+            changed |= bool(new)
+            found |= new
     return {
-        tuple(sorted(other for other in found if name in reached[other]))
-        for name, found in reached.items()
+        tuple(sorted(other for other in found if name in reachable[other]))
+        for name, found in reachable.items()
         if name in found
     }
 
 
-def test_no_modules_import_each_other_in_a_circle():
+def test_there_are_no_import_cycles():
     files = {
         ".".join(file.relative_to(SOURCE).with_suffix("").parts).removesuffix(".__init__"): file
         for file in SOURCE.rglob("*.py")
     }
-    imports = {name: imported(file, set(files)) - {name} for name, file in files.items()}
-    assert circles(imports) == set()
+    imports = {name: imported_modules(file, set(files)) - {name} for name, file in files.items()}
+    assert import_cycles(imports) == set()
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from helpers import Far, Peer, asked, free_place, replies, served, socket, until
-from test_program import SRC, TOLD
+from test_program import CONFIG, SRC
 from test_rig import fleet
 
 from nettledeal.net.address import format_address
@@ -108,7 +108,7 @@
     discovery = Far(lambda peer: peer.hear() and until(bool, 600))
     addresses = [free_place() for _ in range(20)]
     configurations = [
-        {**TOLD, "listen": format_address(address), "discovery": format_address(discovery.address)}
+        {**CONFIG, "listen": format_address(address), "discovery": format_address(discovery.address)}
         for address in addresses
     ]
     agents = [start_agent(tmp_path / f"{n}", each) for n, each in enumerate(configurations)]
@@ -137,7 +137,7 @@
 def test_idle_clients_do_not_block_service_when_discovery_is_down(tmp_path):
     address, discovery_address = free_place(), free_place()
     configuration = {
-        **TOLD,
+        **CONFIG,
         "listen": format_address(address),
         "discovery": format_address(discovery_address),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 import gevent
 import pytest
 from helpers import Far, Peer, asked, free_place, replies, served, socket, until
-from test_program import SRC, start
+from test_program import SRC, start_agent
 
 from nettledeal import configuration, peers
 from nettledeal.configuration_files import ConfigError
@@ -90,7 +90,7 @@
 
     def _start(self, n, **changes):
         folder, config = self.configs[n]
-        process = start(folder, json.dumps(config | changes).encode(), TMPDIR=str(folder))
+        process = start_agent(folder, json.dumps(config | changes).encode(), TMPDIR=str(folder))
         self.processes.append(process)
         self.lines.append([])
         pool = gevent.get_hub().threadpool
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 from nettledeal.net.address import format_address
 
 SRC = str(Path(__file__).parents[1] / "src")
-TOLD = {
+CONFIG = {
     "name": "n1",
     "listen": "127.0.0.1:7070",
     "discovery": "127.0.0.1:8500",
@@ -31,26 +31,26 @@
 }
 
 
-def changed(path, value, *more):
-    told = json.loads(json.dumps(TOLD))
+def config_with(path, value, *more):
+    config = json.loads(json.dumps(CONFIG))
     for at, what in ((path, value), *more):
         *way, last = at.split(".")
-        inner = told
+        inner = config
         for key in way:
             inner = inner[int(key)] if key.isdigit() else inner.setdefault(key, {})
         inner[last] = what
-    return json.dumps(told).encode()
+    return json.dumps(config).encode()
 
 
-def test_settings_become_a_plain_map_in_the_projects_words_and_units():
-    told = parse_configuration(json.dumps(TOLD).encode(), {})
-    assert told.settings["allowed.conn_idle"] == 600_000
-    assert told.settings["categories.count"] == 1
-    assert told.settings["categories.0.effect"] == "exclusive"
-    assert told.settings["categories.0.due_time"] == 3_000
-    assert (told.text_list("zones"), told.text_list("projects")) == (["a", "b"], [])
-    assert (told.indices_by_name("categories"), told.indices_by_name("projects")) == ({"b": 0}, {})
-    assert told.seed == 0x8C1F30D27A5BE964
+def test_settings_are_flattened_with_internal_names_and_units():
+    config = parse_configuration(json.dumps(CONFIG).encode(), {})
+    assert config.settings["allowed.conn_idle"] == 600_000
+    assert config.settings["categories.count"] == 1
+    assert config.settings["categories.0.effect"] == "exclusive"
+    assert config.settings["categories.0.due_time"] == 3_000
+    assert (config.text_list("zones"), config.text_list("projects")) == (["a", "b"], [])
+    assert (config.indices_by_name("categories"), config.indices_by_name("projects")) == ({"b": 0}, {})
+    assert config.seed == 0x8C1F30D27A5BE964
 
 
 @pytest.mark.parametrize(
@@ -74,8 +74,8 @@
         ("settings.categories.0.expiry", 7.5, "settings.categories.0.expiry"),
     ],
 )
-def test_faults_name_the_key(path, value, key):
-    raw = changed(path, value)
+def test_error_names_the_key(path, value, key):
+    raw = config_with(path, value)
     with pytest.raises(ConfigError, match=f"^{key}: ") as fault:
         parse_configuration(raw, {})
     assert "\n" not in str(fault.value)
@@ -84,21 +84,21 @@
 @pytest.mark.parametrize(
     ("environment", "key"), [({}, "EDGE_CONFIG"), ({"EDGE_CONFIG": "/nowhere/at.all"}, "EDGE_CONFIG")]
 )
-def test_a_file_that_cannot_be_read(environment, key):
+def test_unreadable_file_is_an_error(environment, key):
     with pytest.raises(ConfigError, match=f"^{key}: "):
         read_configuration(environment)
 
 
-def test_what_the_file_leaves_out_is_taken_from_the_environment_or_has_a_default():
-    told = parse_configuration(
+def test_missing_keys_come_from_the_environment_or_have_defaults():
+    config = parse_configuration(
         b"{}", {"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"}
     )
-    assert (told.name, told.listen, told.discovery) == ("n9", ("127.0.0.1", 1), ("127.0.0.1", 2))
-    assert told.sockets and told.memory_mb and not told.settings
+    assert (config.name, config.listen, config.discovery) == ("n9", ("127.0.0.1", 1), ("127.0.0.1", 2))
+    assert config.sockets and config.memory_mb and not config.settings
     assert parse_address_key("listen", "[::1]:80") == ("::1", 80)
 
 
-def start(tmp_path, raw, **environment):
+def start_agent(tmp_path, raw, **environment):
     file = tmp_path / "config.json"
     file.write_bytes(raw)
     return subprocess.Popen(
@@ -109,87 +109,87 @@
     )
 
 
-def test_a_fault_ends_the_program_with_2_and_one_line(tmp_path):
-    agent = start(tmp_path, changed("settings.zone", "x"))
+def test_invalid_configuration_exits_with_2_and_one_line(tmp_path):
+    agent = start_agent(tmp_path, config_with("settings.zone", "x"))
     _, log = agent.communicate(timeout=20)
     assert agent.returncode == 2
     assert log.startswith("nettledeal: settings.zone: ")
     assert log.count("\n") == 1
 
 
-def test_a_door_that_cannot_be_opened_ends_the_start_and_an_open_one_takes_orders(tmp_path):
+def test_admin_port_takes_commands_and_a_second_agent_fails_to_bind_it(tmp_path):
     far = Far(replies(served(b"from afar")))
     entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
-    place, door = free_place(), free_place()
-    told = {
-        **TOLD,
+    listen_address, admin_address = free_place(), free_place()
+    config = {
+        **CONFIG,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
-        "listen": format_address(place),
+        "listen": format_address(listen_address),
         "discovery": "127.0.0.1:1",
-        "admin_addr": format_address(door),
+        "admin_addr": format_address(admin_address),
     }
-    agent = start(tmp_path, json.dumps(told).encode())
+    agent = start_agent(tmp_path, json.dumps(config).encode())
 
-    def call(text):
-        return Peer(socket.create_connection(door)).send(text + b"\n").hear(end=b"never")
+    def send_admin_command(text):
+        return Peer(socket.create_connection(admin_address)).send(text + b"\n").hear(end=b"never")
 
     try:
         assert "started" in agent.stderr.readline()
-        assert call(b"health").startswith(b"+OK")
-        other = start(tmp_path, json.dumps(told).encode())
+        assert send_admin_command(b"health").startswith(b"+OK")
+        other = start_agent(tmp_path, json.dumps(config).encode())
         _, log = other.communicate(timeout=20)
         assert (other.returncode, log.count("\n")) == (2, 1)
         assert log.startswith("nettledeal: admin_addr: ")
-        client = Peer(socket.create_connection(place))
-        assert call(b"cordon s9").startswith(b"-ERR")
-        assert call(b"cordon s1").startswith(b"+OK")
+        client = Peer(socket.create_connection(listen_address))
+        assert send_admin_command(b"cordon s9").startswith(b"-ERR")
+        assert send_admin_command(b"cordon s1").startswith(b"+OK")
         assert client.send(asked()).hear().startswith(b"HTTP/1.1 503 ")
-        assert call(b"uncordon s1").startswith(b"+OK")
-        # Cold, and the only one: it takes what it bears.
+        assert send_admin_command(b"uncordon s1").startswith(b"+OK")
+        # The only backend is cold, so it accepts only as many requests as its warm-up allows.
         assert until(lambda: client.send(asked(b"r2")).hear().endswith(b"from afar"))
-        assert call(b"quiesce").startswith(b"+OK")
+        assert send_admin_command(b"quiesce").startswith(b"+OK")
         health = b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
         assert client.send(health).hear().startswith(b"HTTP/1.1 503 ")
-        assert call(b"health").startswith(b"+OK")
-        assert call(b"resume").startswith(b"+OK")
-        assert Peer(socket.create_connection(place)).send(health).hear().startswith(b"HTTP/1.1 200 ")
+        assert send_admin_command(b"health").startswith(b"+OK")
+        assert send_admin_command(b"resume").startswith(b"+OK")
+        assert Peer(socket.create_connection(listen_address)).send(health).hear().startswith(b"HTTP/1.1 200 ")
     finally:
         agent.kill()
         agent.stderr.close()
 
 
-def test_it_serves_and_ends_with_0_when_told_to(tmp_path):
-    told_to_end = Event()
+def test_sigterm_drains_and_exits_with_0(tmp_path):
+    release_backend = Event()
 
     def script(peer):
         while heard := peer.hear():
             if b"ID: slow" in heard:
                 reached.append(heard)
-                told_to_end.wait()
+                release_backend.wait()
             peer.send(served(b"from afar"))
 
     reached = []
     far = Far(script)
     entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
-    told = {**TOLD, "known": {"generation": 1, "reset": True, "instances": [entry]}}
-    place = free_place()
-    told |= {"listen": format_address(place), "discovery": "127.0.0.1:1"}
-    agent = start(tmp_path, json.dumps(told).encode())
+    config = {**CONFIG, "known": {"generation": 1, "reset": True, "instances": [entry]}}
+    listen_address = free_place()
+    config |= {"listen": format_address(listen_address), "discovery": "127.0.0.1:1"}
+    agent = start_agent(tmp_path, json.dumps(config).encode())
     try:
         assert "started" in agent.stderr.readline()
-        client = Peer(socket.create_connection(place))
+        client = Peer(socket.create_connection(listen_address))
         assert client.send(asked()).hear().endswith(b"from afar")
-        slow = Peer(socket.create_connection(place)).send(asked(b"slow"))
+        slow = Peer(socket.create_connection(listen_address)).send(asked(b"slow"))
         assert until(lambda: reached)
         agent.send_signal(signal.SIGTERM)
         assert "stopping" in agent.stderr.readline()
-        # Clients that have not heard of it yet are served, and sent away.
-        late = Peer(socket.create_connection(place)).send(asked(b"r2")).hear()
+        # Clients that don't know of the shutdown yet are served, and their connections are closed.
+        late = Peer(socket.create_connection(listen_address)).send(asked(b"r2")).hear()
         assert late.endswith(b"from afar") and b"Connection: close" in late
         assert client.hear() == b""
-        # What was out is answered, though it takes longer than its category's expiry, and told of the end.
+        # An open request is answered even after its category's expiry, and its connection is closed.
         gevent.sleep(1.5)
-        told_to_end.set()
+        release_backend.set()
         assert b"Connection: close" in (answer := slow.hear()) and answer.endswith(b"from afar")
         assert agent.wait(timeout=20) == 0
     finally:
@@ -197,22 +197,24 @@
         agent.stderr.close()
 
 
-def blocked(agent):
-    """Before anything else is done hang-up, interrupt and termination are: what comes early is kept."""
+def wait_until_signals_are_blocked(agent):
+    """Wait until SIGHUP, SIGINT and SIGTERM are blocked, so that early signals stay pending."""
     assert until(lambda: "SigBlk:\t0000000000004003" in Path(f"/proc/{agent.pid}/status").read_text(), 20)
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_an_order_to_end_amid_the_start_is_followed_once_it_can_be(tmp_path, number):
-    place = free_place()
-    told = {**TOLD, "listen": format_address(place), "discovery": "127.0.0.1:1"}
-    agent = start(tmp_path, json.dumps(told).encode())
+def test_stop_signal_during_the_start_is_handled_after_it(tmp_path, number):
+    listen_address = free_place()
+    config = {**CONFIG, "listen": format_address(listen_address), "discovery": "127.0.0.1:1"}
+    agent = start_agent(tmp_path, json.dumps(config).encode())
     try:
-        blocked(agent)
+        wait_until_signals_are_blocked(agent)
         agent.send_signal(number)
         assert "started" in agent.stderr.readline()
-        # Whoever came meanwhile is met before the end.
-        client = Peer(socket.create_connection(place)).send(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
+        # A client that connected meanwhile is served before the agent stops.
+        client = Peer(socket.create_connection(listen_address)).send(
+            b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
+        )
         assert client.hear().startswith(b"HTTP/1.1 200 ")
         assert agent.wait(timeout=20) == 0
     finally:
@@ -220,34 +222,34 @@
         agent.stderr.close()
 
 
-def test_clients_that_go_on_coming_do_not_put_off_the_end(tmp_path):
-    told_to_end = Event()
-    far = Far(lambda peer: peer.hear() and told_to_end.wait() and peer.send(served(b"from afar")))
+def test_clients_that_keep_connecting_do_not_delay_the_shutdown(tmp_path):
+    release_backend = Event()
+    far = Far(lambda peer: peer.hear() and release_backend.wait() and peer.send(served(b"from afar")))
     entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
-    place = free_place()
-    told = {
-        **TOLD,
+    listen_address = free_place()
+    config = {
+        **CONFIG,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
-        "listen": format_address(place),
+        "listen": format_address(listen_address),
         "discovery": "127.0.0.1:1",
     }
-    agent = start(tmp_path, json.dumps(told).encode())
+    agent = start_agent(tmp_path, json.dumps(config).encode())
     try:
         assert "started" in agent.stderr.readline()
-        slow = Peer(socket.create_connection(place)).send(asked(b"slow"))
+        slow = Peer(socket.create_connection(listen_address)).send(asked(b"slow"))
         assert until(lambda: far.peers)
         agent.send_signal(signal.SIGTERM)
 
         def refused():
-            # They are met while the end is not known everywhere, and then go to where they are served.
+            # Connections are accepted for a while during the shutdown, and refused from then on.
             try:
-                socket.create_connection(place).close()
+                socket.create_connection(listen_address).close()
             except ConnectionRefusedError:
                 return True
             return False
 
         assert until(refused)
-        told_to_end.set()
+        release_backend.set()
         assert slow.hear().endswith(b"from afar")
         assert agent.wait(timeout=20) == 0
     finally:
@@ -255,9 +257,9 @@
         agent.stderr.close()
 
 
-def test_an_order_to_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
-    def entry(place):
-        return {"instanceId": "s1", "hostPort": format_address(place), "zone": "a"}
+def test_reload_changes_the_discovery_address_and_an_invalid_file_changes_nothing(tmp_path):
+    def entry(address):
+        return {"instanceId": "s1", "hostPort": format_address(address), "zone": "a"}
 
     def discovery(far):
         whole = {"generation": 1, "reset": True, "instances": [entry(far.address)]}
@@ -265,31 +267,35 @@
 
     far = Far(replies(served(b"first")))
     lists = [discovery(far), discovery(Far(replies(served(b"second"))))]
-    place = free_place()
-    told = {**TOLD, "listen": format_address(place), "discovery": format_address(lists[0].address)}
-    agent = start(tmp_path, json.dumps(told).encode())
-    blocked(agent)
+    listen_address = free_place()
+    config = {
+        **CONFIG,
+        "listen": format_address(listen_address),
+        "discovery": format_address(lists[0].address),
+    }
+    agent = start_agent(tmp_path, json.dumps(config).encode())
+    wait_until_signals_are_blocked(agent)
     agent.send_signal(signal.SIGHUP)
     try:
         assert "started" in agent.stderr.readline()
         assert "reloaded" in agent.stderr.readline()
         assert until(lambda: len(lists[0].peers) == 2)
-        client = Peer(socket.create_connection(place))
+        client = Peer(socket.create_connection(listen_address))
         assert client.send(asked()).hear().endswith(b"first")
         file = tmp_path / "config.json"
-        file.write_bytes(changed("discovery", "nowhere"))
+        file.write_bytes(config_with("discovery", "nowhere"))
         agent.send_signal(signal.SIGHUP)
         refused = agent.stderr.readline()
         assert "refused" in refused and "discovery: " in refused
         assert client.send(asked(b"r2")).hear().endswith(b"first")
-        told |= {"discovery": format_address(lists[1].address)}
-        told["limits"] = TOLD["limits"] | {"sockets": 128}
-        file.write_text(json.dumps(told))
+        config |= {"discovery": format_address(lists[1].address)}
+        config["limits"] = CONFIG["limits"] | {"sockets": 128}
+        file.write_text(json.dumps(config))
         for _ in range(3):
             agent.send_signal(signal.SIGHUP)
         assert '"sockets"' in agent.stderr.readline()
         assert until(lambda: len(lists[1].peers) == 2)
-        # Its connection, its memory and its backend's new place.
+        # The connection stays open, and requests reach the backend at its new address.
         assert until(lambda: client.send(asked(b"r3")).hear().endswith(b"second"))
         agent.send_signal(signal.SIGTERM)
         agent.send_signal(signal.SIGHUP)
--- a/tests/test_settings_switch.py
+++ b/tests/test_settings_switch.py
@@ -15,7 +15,7 @@
 import gevent
 import pytest
 from helpers import Far, Peer, asked, free_place, served, socket, until
-from test_program import start
+from test_program import start_agent
 
 from nettledeal.hash_ring import stable_hash
 from nettledeal.net.address import format_address
@@ -107,7 +107,7 @@
         "known": fleet.catalogue(),
         "settings": settings,
     }
-    process = start(tmp_path, json.dumps(configuration).encode())
+    process = start_agent(tmp_path, json.dumps(configuration).encode())
     lines = []
     try:
         assert "started" in process.stderr.readline()
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -2,10 +2,10 @@
 
     PYTHONPATH=src python tests/upgrades.py --count 100 --failed 20
 
-Clients ask at a steady rate, whatever the answers (open loop), on connections that they keep. A request
-that meets a refused, reset or ended connection goes once more on a new one, as the pages allow; it is
-counted. Backends count how often each request has run. Some successors fail on purpose: by a faulty file, or
-killed before they serve.
+Clients send requests at a steady rate, whatever the answers (open loop), on connections that they keep. A
+request that meets a refused, reset or closed connection is sent once more on a new one, as the
+specification allows, and counted. Backends count how often each request has run. Some successors fail on
+purpose: by an invalid file, or killed before they serve.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 from nettledeal.net.address import format_address
 
 SRC = str(Path(__file__).parents[1] / "src")
-WORK = 0.01  # what a backend takes, in seconds
+SERVICE_TIME_S = 0.01
 
 
-class World:
-    def __init__(self, folder: Path, backends: int = 3):
+class UpgradeRig:
+    def __init__(self, folder: Path, backend_count: int = 3):
         self.folder = folder
-        self.runs: Counter[bytes] = Counter()
-        self.seen: Counter[str] = Counter()
-        self.fars = [Far(self._backend) for _ in range(backends)]
-        self.place = free_place()
+        self.executions: Counter[bytes] = Counter()
+        self.counts: Counter[str] = Counter()
+        self.backends = [Far(self._backend) for _ in range(backend_count)]
+        self.listen_address = free_place()
         entries = [
             {"instanceId": f"s{n}", "hostPort": format_address(far.address), "zone": "a"}
-            for n, far in enumerate(self.fars)
+            for n, far in enumerate(self.backends)
         ]
-        whole = {"generation": 1, "reset": True, "instances": entries}
-        self.list = Far(lambda peer: self._discovery(peer, json.dumps(whole).encode()))
+        catalogue = {"generation": 1, "reset": True, "instances": entries}
+        self.discovery = Far(lambda peer: self._discovery(peer, json.dumps(catalogue).encode()))
         category = {"name": "b", "effect": "unsafe", "expiry": 1_000_000_000, "due_time": 400_000_000}
-        self.told = {
+        self.config = {
             "name": "n1",
-            "listen": format_address(self.place),
-            "discovery": format_address(self.list.address),
-            "known": whole,
+            "listen": format_address(self.listen_address),
+            "discovery": format_address(self.discovery.address),
+            "known": catalogue,
             "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
             "settings": {
@@ -59,22 +59,22 @@
                 "categories": [category],
             },
         }
-        self.number = 0
-        self.free: list[Peer] = []
+        self.started_count = 0
+        self.idle_connections: list[Peer] = []
 
     def _backend(self, peer):
-        while heard := peer.hear():
-            for line in heard.split(b"\r\n"):
+        while received := peer.hear():
+            for line in received.split(b"\r\n"):
                 if line.startswith(b"X-Request-ID: "):
-                    self.runs[line[14:]] += 1
-            gevent.sleep(WORK)
+                    self.executions[line[14:]] += 1
+            gevent.sleep(SERVICE_TIME_S)
             peer.send(served(b"done"))
 
     @staticmethod
-    def _discovery(peer, whole):
-        heard = peer.hear()
-        if b"watch=1" not in heard:
-            peer.send(served(whole))
+    def _discovery(peer, catalogue):
+        received = peer.hear()
+        if b"watch=1" not in received:
+            peer.send(served(catalogue))
             return
         peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         with suppress(OSError):
@@ -84,12 +84,14 @@
 
     # Agents.
 
-    def start(self, faulty=False):
-        self.number += 1
-        file = self.folder / f"config{self.number}.json"
-        told = {**self.told, "settings": {**self.told["settings"], "zone": -1}} if faulty else self.told
-        file.write_text(json.dumps(told))
-        door = free_place()
+    def start(self, invalid=False):
+        self.started_count += 1
+        file = self.folder / f"config{self.started_count}.json"
+        config = (
+            {**self.config, "settings": {**self.config["settings"], "zone": -1}} if invalid else self.config
+        )
+        file.write_text(json.dumps(config))
+        admin_address = free_place()
         process = subprocess.Popen(
             [sys.executable, "-O", "-m", "nettledeal"],
             stderr=subprocess.DEVNULL,
@@ -97,41 +99,41 @@
                 **os.environ,
                 "PYTHONPATH": SRC,
                 "EDGE_CONFIG": str(file),
-                "EDGE_ADMIN_ADDR": format_address(door),
+                "EDGE_ADMIN_ADDR": format_address(admin_address),
                 "TMPDIR": str(self.folder),
             },
         )
-        return process, door
+        return process, admin_address
 
     @staticmethod
-    def call(door, line):
+    def send_admin_command(admin_address, line):
         try:
-            with socket.create_connection(door, timeout=1) as sock:
+            with socket.create_connection(admin_address, timeout=1) as sock:
                 sock.settimeout(1)
                 sock.sendall(line + b"\n")
                 return sock.recv(200)
         except OSError:
             return b""
 
-    def ready(self, door, within=10.0):
+    def wait_until_ready(self, admin_address, within=10.0):
         with gevent.Timeout(within):
-            while not self.call(door, b"health").startswith(b"+OK"):
+            while not self.send_admin_command(admin_address, b"health").startswith(b"+OK"):
                 gevent.sleep(0.02)
 
     def upgrade(self, old):
-        """The successor, once the old one has ended by itself."""
-        new, door = self.start()
-        self.ready(door)
+        """Start a successor, stop the old process and return the successor once the old one has exited."""
+        new, admin_address = self.start()
+        self.wait_until_ready(admin_address)
         old.send_signal(signal.SIGTERM)
         with gevent.Timeout(4.0):
             while (code := old.poll()) is None:
                 gevent.sleep(0.02)
         assert code == 0, code
         assert new.poll() is None, "only the old one may exit"
-        return new, door
+        return new, admin_address
 
-    def fail(self, how):
-        process, _ = self.start(faulty=how == "faulty")
+    def fail_start(self, how):
+        process, _ = self.start(invalid=how == "invalid")
         if how == "killed":
             gevent.sleep(0.1)
             process.kill()
@@ -141,79 +143,83 @@
 
     # Clients.
 
-    def ask(self, id):
+    def send_request(self, id):
         head = b"POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %b\r\nX-Priority-Class: b\r\n" % id
-        asked = head + b"X-Timeout-Ms: 1000\r\nContent-Length: 2\r\n\r\nhi"
+        request = head + b"X-Timeout-Ms: 1000\r\nContent-Length: 2\r\n\r\nhi"
         for kept in (True, False):
             try:
-                peer = self.free.pop() if kept and self.free else Peer(socket.create_connection(self.place))
-                heard = peer.send(asked).hear()
+                peer = (
+                    self.idle_connections.pop()
+                    if kept and self.idle_connections
+                    else Peer(socket.create_connection(self.listen_address))
+                )
+                received = peer.send(request).hear()
             except OSError:
-                heard = b""
-            if heard:
+                received = b""
+            if received:
                 break
-            self.seen["met an ended connection"] += 1
+            self.counts["met an ended connection"] += 1
         else:
-            self.seen["lost"] += 1
+            self.counts["lost"] += 1
             return
-        self.seen[heard[9:12].decode()] += 1
-        if b"Connection: close" in heard:
+        self.counts[received[9:12].decode()] += 1
+        if b"Connection: close" in received:
             peer.sock.close()
         else:
-            self.free.append(peer)
+            self.idle_connections.append(peer)
 
-    def load(self, rate):
+    def generate_load(self, rate):
         n, start = 0, gevent.get_hub().loop.now()
         while True:
             n += 1
-            gevent.spawn(self.ask, b"r%d" % n)
+            gevent.spawn(self.send_request, b"r%d" % n)
             gevent.get_hub().loop.update_now()
             gevent.sleep(max(0.0, start + n / rate - gevent.get_hub().loop.now()))
 
 
 def run(count, failed, rate, folder):
-    world = World(Path(folder))
-    agent, door = world.start()
-    world.ready(door)
-    load = gevent.spawn(world.load, rate)
+    rig = UpgradeRig(Path(folder))
+    agent, admin_address = rig.start()
+    rig.wait_until_ready(admin_address)
+    load = gevent.spawn(rig.generate_load, rate)
     gevent.sleep(0.3)
     try:
         for n in range(count):
             # Spread evenly, so that each kind of failure meets each stage of the others.
             if failed and n * failed // count != (n + 1) * failed // count:
-                world.fail("faulty" if n % 2 else "killed")
+                rig.fail_start("invalid" if n % 2 else "killed")
             else:
-                agent, door = world.upgrade(agent)
-        # Orders outlive an upgrade.
-        assert world.call(door, b"cordon s0").startswith(b"+OK")
-        agent, door = world.upgrade(agent)
+                agent, admin_address = rig.upgrade(agent)
+        # Cordons outlive an upgrade.
+        assert rig.send_admin_command(admin_address, b"cordon s0").startswith(b"+OK")
+        agent, admin_address = rig.upgrade(agent)
         gevent.sleep(0.3)
-        before = dict(world.runs), len(world.fars[0].peers)
+        before = dict(rig.executions), len(rig.backends[0].peers)
         gevent.sleep(0.5)
-        assert len(world.fars[0].peers) == before[1], "a backend out of service was connected to"
-        assert len(world.runs) > len(before[0])
+        assert len(rig.backends[0].peers) == before[1], "a backend out of service was connected to"
+        assert len(rig.executions) > len(before[0])
         load.kill()
         gevent.sleep(1.2)
     finally:
         agent.kill()
         agent.wait()
-    world.seen["asked"] = sum(world.seen[key] for key in world.seen if key.isdigit()) + world.seen["lost"]
-    world.seen["run twice"] = sum(times > 1 for times in world.runs.values())
-    left = [place.name for place in world.folder.iterdir() if place.name.startswith("nettledeal-")]
-    assert len(left) <= 2, left
-    return world.seen
+    rig.counts["asked"] = sum(rig.counts[key] for key in rig.counts if key.isdigit()) + rig.counts["lost"]
+    rig.counts["run twice"] = sum(times > 1 for times in rig.executions.values())
+    remaining = [path.name for path in rig.folder.iterdir() if path.name.startswith("nettledeal-")]
+    assert len(remaining) <= 2, remaining
+    return rig.counts
 
 
 def main():
-    asked = argparse.ArgumentParser(description=__doc__)
-    asked.add_argument("--count", type=int, default=100)
-    asked.add_argument("--failed", type=int, default=20, help="of these, so many fail on purpose")
-    asked.add_argument("--rate", type=float, default=200.0, help="work items a second")
-    told = asked.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--count", type=int, default=100)
+    parser.add_argument("--failed", type=int, default=20, help="how many of these fail on purpose")
+    parser.add_argument("--rate", type=float, default=200.0, help="requests per second")
+    arguments = parser.parse_args()
     with TemporaryDirectory() as folder:
-        seen = run(told.count, told.failed, told.rate, folder)
-    print(json.dumps(seen, indent=1, sort_keys=True))
-    return 1 if seen["lost"] or seen["run twice"] else 0
+        counts = run(arguments.count, arguments.failed, arguments.rate, folder)
+    print(json.dumps(counts, indent=1, sort_keys=True))
+    return 1 if counts["lost"] or counts["run twice"] else 0
 
 
 if __name__ == "__main__":
