--- a/tests/test_configuration_change.py
+++ b/tests/test_configuration_change.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 import pytest
-from helpers import Drive, answers, attempts, settings, until
+from helpers import BalancerDriver, answers, attempts, balancer_settings, wait_until
 from test_program import CONFIG, config_with
 from test_router import RouterRig
 
@@ -97,7 +97,9 @@
 
 
 def settings_with_categories(*categories, **changes):
-    content = {key: value for key, value in settings(**changes).items() if not key.startswith("categories.")}
+    content = {
+        key: value for key, value in balancer_settings(**changes).items() if not key.startswith("categories.")
+    }
     content["categories.count"] = len(categories)
     for n, (name, effect) in enumerate(categories):
         content |= {
@@ -112,19 +114,19 @@
 TWO_CATEGORIES = settings_with_categories(("read", "rerunnable"), ("write", "exclusive"))
 
 
-def configured_drive():
-    found = Drive()
+def configured_driver():
+    found = BalancerDriver()
     found.balancer.apply_settings(found.now, TWO_CATEGORIES)
     return found
 
 
-def category_names(drive):
-    """The names of categories, without the numbered ones that the drive started with."""
-    return [c.name for c in drive.balancer.state.categories if not c.name.isdigit()]
+def category_names(driver):
+    """The names of categories, without the numbered ones that the driver started with."""
+    return [c.name for c in driver.balancer.state.categories if not c.name.isdigit()]
 
 
-def category_index(drive, name):
-    return [category.name for category in drive.balancer.state.categories].index(name)
+def category_index(driver, name):
+    return [category.name for category in driver.balancer.state.categories].index(name)
 
 
 @pytest.mark.parametrize(
@@ -136,60 +138,60 @@
     ],
 )
 def test_changed_effect_applies_to_new_requests_only(before, after, again):
-    drive = configured_drive()
-    drive.balancer.apply_settings(drive.now, settings_with_categories(("x", before)))
-    old = attempts(drive.take(0))[0]
-    drive.balancer.apply_settings(drive.now, settings_with_categories(("new", "rerunnable"), ("x", after)))
-    assert bool(attempts(drive.back(old, Outcome.RESET))) is again
-    fresh = attempts(drive.take(category_index(drive, "x")))[0]
-    assert bool(attempts(drive.back(fresh, Outcome.RESET))) is not again
+    driver = configured_driver()
+    driver.balancer.apply_settings(driver.now, settings_with_categories(("x", before)))
+    old = attempts(driver.submit(0))[0]
+    driver.balancer.apply_settings(driver.now, settings_with_categories(("new", "rerunnable"), ("x", after)))
+    assert bool(attempts(driver.finish_attempt(old, Outcome.RESET))) is again
+    fresh = attempts(driver.submit(category_index(driver, "x")))[0]
+    assert bool(attempts(driver.finish_attempt(fresh, Outcome.RESET))) is not again
 
 
 def test_changed_attempt_limit_applies_to_new_requests_only():
-    drive = configured_drive()
-    old = attempts(drive.take(0))[0]
-    drive.balancer.apply_settings(drive.now, {**TWO_CATEGORIES, "allowed.most_hand_offs": 1})
-    assert attempts(drive.back(old, Outcome.RESET))
-    fresh = attempts(drive.take(0))[0]
-    assert not attempts(drive.back(fresh, Outcome.RESET))
+    driver = configured_driver()
+    old = attempts(driver.submit(0))[0]
+    driver.balancer.apply_settings(driver.now, {**TWO_CATEGORIES, "allowed.most_hand_offs": 1})
+    assert attempts(driver.finish_attempt(old, Outcome.RESET))
+    fresh = attempts(driver.submit(0))[0]
+    assert not attempts(driver.finish_attempt(fresh, Outcome.RESET))
 
 
 def test_learned_state_follows_a_categorys_name_not_its_index():
-    drive = configured_drive()
+    driver = configured_driver()
     for _ in range(30):
-        drive.back(attempts(drive.take(1))[0], after=333)
-    was = drive.balancer.state.categories[1]
+        driver.finish_attempt(attempts(driver.submit(1))[0], after=333)
+    was = driver.balancer.state.categories[1]
     assert was.samples == 30
-    drive.balancer.apply_settings(
-        drive.now,
+    driver.balancer.apply_settings(
+        driver.now,
         settings_with_categories(("other", "exclusive"), ("write", "exclusive"), ("read", "rerunnable")),
     )
-    drive.balancer.apply_settings(
-        drive.now, settings_with_categories(("write", "exclusive"), ("other", "exclusive"))
+    driver.balancer.apply_settings(
+        driver.now, settings_with_categories(("write", "exclusive"), ("other", "exclusive"))
     )
-    now = drive.balancer.state.categories[0]
+    now = driver.balancer.state.categories[0]
     assert (now.base_time, now.samples) == (was.base_time, 30) and now is not was
-    assert category_names(drive) == ["write", "other", "read"]
+    assert category_names(driver) == ["write", "other", "read"]
     # A category that is added again keeps its state and is listed once.
-    drive.balancer.apply_settings(drive.now, TWO_CATEGORIES)
-    assert category_names(drive) == ["read", "write", "other"]
+    driver.balancer.apply_settings(driver.now, TWO_CATEGORIES)
+    assert category_names(driver) == ["read", "write", "other"]
 
 
 def test_removed_category_keeps_its_rules_for_its_requests():
-    drive = configured_drive()
-    out = attempts(drive.take(1))[0]
-    drive.balancer.apply_settings(drive.now, settings_with_categories(("read", "rerunnable")))
-    assert [a.verdict for a in answers(drive.back(out, Outcome.RESET))] == [Verdict.FAILED]
+    driver = configured_driver()
+    out = attempts(driver.submit(1))[0]
+    driver.balancer.apply_settings(driver.now, settings_with_categories(("read", "rerunnable")))
+    assert [a.verdict for a in answers(driver.finish_attempt(out, Outcome.RESET))] == [Verdict.FAILED]
     # They hold also for new requests that still name it.
-    out = attempts(drive.take(category_index(drive, "write")))[0]
-    assert [a.verdict for a in answers(drive.back(out, Outcome.RESET))] == [Verdict.FAILED]
+    out = attempts(driver.submit(category_index(driver, "write")))[0]
+    assert [a.verdict for a in answers(driver.finish_attempt(out, Outcome.RESET))] == [Verdict.FAILED]
 
 
 def test_number_of_removed_categories_is_bounded():
-    drive = configured_drive()
+    driver = configured_driver()
     for n in range(100):
-        drive.balancer.apply_settings(drive.now, settings_with_categories((f"c{n}", "rerunnable")))
-    assert len(drive.balancer.state.categories) <= 17
+        driver.balancer.apply_settings(driver.now, settings_with_categories((f"c{n}", "rerunnable")))
+    assert len(driver.balancer.state.categories) <= 17
 
 
 def test_router_accepts_new_categories_at_once_and_removed_ones_for_a_while():
@@ -216,4 +218,4 @@
     rig.router.update_settings(settings_with_categories(("add", "rerunnable")), {}, {"add": 300}, 50)
     assert rig.submit("write")[0].status is HTTPStatus.BAD_REQUEST
     rig.router.update_settings(TWO_CATEGORIES, {}, {"read": 100, "write": 200}, 100)
-    assert rig.submit("write")[1] and until(lambda: not rig.router.queued)
+    assert rig.submit("write")[1] and wait_until(lambda: not rig.router.queued)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from helpers import SECOND, Drive, attempts
+from helpers import SECOND, BalancerDriver, attempts
 
 from nettledeal.handover import LEAVING, SERVING, STARTING, VERSION, Handover, parse_record
 from nettledeal.learned_state import export_learned, import_learned
@@ -185,23 +185,23 @@
 # The learned state that a process leaves to its successor.
 
 
-def trained_drive():
-    drive = Drive()
+def trained_driver():
+    driver = BalancerDriver()
     for n in range(200):
-        for attempt in attempts(drive.take(n % 2)):
+        for attempt in attempts(driver.submit(n % 2)):
             slow = attempt.backend == "b1"
-            drive.back(
+            driver.finish_attempt(
                 attempt, Outcome.ERROR if attempt.backend == "b2" else Outcome.FINISHED, 900 if slow else 300
             )
-    return drive
+    return driver
 
 
 def test_learned_state_is_imported_with_its_age():
-    old = trained_drive()
+    old = trained_driver()
     whole = old.balancer.admission.limit
     old.balancer.set_processes(2)
     left = msgspec.json.decode(msgspec.json.encode(export_learned(old.balancer, old.now)))
-    new = Drive(now=old.now + SECOND)
+    new = BalancerDriver(now=old.now + SECOND)
     new.balancer.set_processes(2)
     assert import_learned(new.balancer, new.now, left)
     for mine, its in zip(old.balancer.state.categories, new.balancer.state.categories, strict=True):
@@ -221,18 +221,18 @@
 
 @pytest.mark.parametrize("listing", [Listing("b1", started_at=1), Listing("other")])
 def test_state_of_a_restarted_or_removed_backend_is_not_imported(listing):
-    old = trained_drive()
+    old = trained_driver()
     left = export_learned(old.balancer, old.now)
-    new = Drive([listing], now=old.now)
+    new = BalancerDriver([listing], now=old.now)
     assert import_learned(new.balancer, new.now, left)
     b = new.balancer.state.backends[listing.backend]
     assert not b.log_slowness and not b.distrust
 
 
 def test_state_of_a_backend_uncordoned_meanwhile_is_not_imported():
-    old = trained_drive()
+    old = trained_driver()
     left = export_learned(old.balancer, old.now)
-    new = Drive(now=old.now)
+    new = BalancerDriver(now=old.now)
     new.balancer.cordon(new.now, "b2")
     new.balancer.uncordon(new.now, "b2")
     assert import_learned(new.balancer, new.now, left)
@@ -254,7 +254,7 @@
     ],
 )
 def test_invalid_learned_state_changes_nothing(change):
-    old, new = trained_drive(), Drive()
+    old, new = trained_driver(), BalancerDriver()
     before = export_learned(new.balancer, new.now)
     assert not import_learned(new.balancer, new.now, export_learned(old.balancer, old.now) | change)
     assert export_learned(new.balancer, new.now) == before
@@ -263,16 +263,16 @@
 def test_processes_share_the_budget_of_a_cold_backend():
     def pushed(drives):
         out = 0
-        for drive in drives:
+        for driver in drives:
             for _ in range(60):
-                out += len(attempts(drive.take()))
+                out += len(attempts(driver.submit()))
         return out
 
     cold = [Listing("b0", started_at=100_000)]
-    alone = Drive(cold, seed=3)
-    two = [Drive(cold, seed=n) for n in (3, 4)]
-    for drive in two:
-        drive.balancer.set_processes(2)
+    alone = BalancerDriver(cold, seed=3)
+    two = [BalancerDriver(cold, seed=n) for n in (3, 4)]
+    for driver in two:
+        driver.balancer.set_processes(2)
     b = alone.balancer.state.backends["b0"]
     whole = alone.balancer.health.budget(b, alone.now)
     assert sum(d.balancer.health.budget(b, d.now) for d in two) == pytest.approx(whole)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -8,7 +8,16 @@
 import gevent
 import pytest
 from gevent.event import Event
-from helpers import Far, Peer, asked, free_place, replies, served, socket, until
+from helpers import (
+    PeerConnection,
+    ScriptedServer,
+    free_address,
+    reply_script,
+    request_bytes,
+    response_bytes,
+    socket,
+    wait_until,
+)
 
 from nettledeal.configuration import parse_configuration, read_configuration
 from nettledeal.configuration_files import ConfigError, parse_address_key
@@ -118,9 +127,9 @@
 
 
 def test_admin_port_takes_commands_and_a_second_agent_fails_to_bind_it(tmp_path):
-    far = Far(replies(served(b"from afar")))
-    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
-    listen_address, admin_address = free_place(), free_place()
+    server = ScriptedServer(reply_script(response_bytes(b"from afar")))
+    entry = {"instanceId": "s1", "hostPort": format_address(server.address), "zone": "a"}
+    listen_address, admin_address = free_address(), free_address()
     config = {
         **CONFIG,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
@@ -131,7 +140,11 @@
     agent = start_agent(tmp_path, json.dumps(config).encode())
 
     def send_admin_command(text):
-        return Peer(socket.create_connection(admin_address)).send(text + b"\n").hear(end=b"never")
+        return (
+            PeerConnection(socket.create_connection(admin_address))
+            .send(text + b"\n")
+            .receive_message(end=b"never")
+        )
 
     try:
         assert "started" in agent.stderr.readline()
@@ -140,19 +153,24 @@
         _, log = other.communicate(timeout=20)
         assert (other.returncode, log.count("\n")) == (2, 1)
         assert log.startswith("nettledeal: admin_addr: ")
-        client = Peer(socket.create_connection(listen_address))
+        client = PeerConnection(socket.create_connection(listen_address))
         assert send_admin_command(b"cordon s9").startswith(b"-ERR")
         assert send_admin_command(b"cordon s1").startswith(b"+OK")
-        assert client.send(asked()).hear().startswith(b"HTTP/1.1 503 ")
+        assert client.send(request_bytes()).receive_message().startswith(b"HTTP/1.1 503 ")
         assert send_admin_command(b"uncordon s1").startswith(b"+OK")
         # The only backend is cold, so it accepts only as many requests as its warm-up allows.
-        assert until(lambda: client.send(asked(b"r2")).hear().endswith(b"from afar"))
+        assert wait_until(lambda: client.send(request_bytes(b"r2")).receive_message().endswith(b"from afar"))
         assert send_admin_command(b"quiesce").startswith(b"+OK")
         health = b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
-        assert client.send(health).hear().startswith(b"HTTP/1.1 503 ")
+        assert client.send(health).receive_message().startswith(b"HTTP/1.1 503 ")
         assert send_admin_command(b"health").startswith(b"+OK")
         assert send_admin_command(b"resume").startswith(b"+OK")
-        assert Peer(socket.create_connection(listen_address)).send(health).hear().startswith(b"HTTP/1.1 200 ")
+        assert (
+            PeerConnection(socket.create_connection(listen_address))
+            .send(health)
+            .receive_message()
+            .startswith(b"HTTP/1.1 200 ")
+        )
     finally:
         agent.kill()
         agent.stderr.close()
@@ -162,35 +180,39 @@
     release_backend = Event()
 
     def script(peer):
-        while heard := peer.hear():
+        while heard := peer.receive_message():
             if b"ID: slow" in heard:
                 reached.append(heard)
                 release_backend.wait()
-            peer.send(served(b"from afar"))
+            peer.send(response_bytes(b"from afar"))
 
     reached = []
-    far = Far(script)
-    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
+    server = ScriptedServer(script)
+    entry = {"instanceId": "s1", "hostPort": format_address(server.address), "zone": "a"}
     config = {**CONFIG, "known": {"generation": 1, "reset": True, "instances": [entry]}}
-    listen_address = free_place()
+    listen_address = free_address()
     config |= {"listen": format_address(listen_address), "discovery": "127.0.0.1:1"}
     agent = start_agent(tmp_path, json.dumps(config).encode())
     try:
         assert "started" in agent.stderr.readline()
-        client = Peer(socket.create_connection(listen_address))
-        assert client.send(asked()).hear().endswith(b"from afar")
-        slow = Peer(socket.create_connection(listen_address)).send(asked(b"slow"))
-        assert until(lambda: reached)
+        client = PeerConnection(socket.create_connection(listen_address))
+        assert client.send(request_bytes()).receive_message().endswith(b"from afar")
+        slow = PeerConnection(socket.create_connection(listen_address)).send(request_bytes(b"slow"))
+        assert wait_until(lambda: reached)
         agent.send_signal(signal.SIGTERM)
         assert "stopping" in agent.stderr.readline()
         # Clients that don't know of the shutdown yet are served, and their connections are closed.
-        late = Peer(socket.create_connection(listen_address)).send(asked(b"r2")).hear()
+        late = (
+            PeerConnection(socket.create_connection(listen_address))
+            .send(request_bytes(b"r2"))
+            .receive_message()
+        )
         assert late.endswith(b"from afar") and b"Connection: close" in late
-        assert client.hear() == b""
+        assert client.receive_message() == b""
         # An open request is answered even after its category's expiry, and its connection is closed.
         gevent.sleep(1.5)
         release_backend.set()
-        assert b"Connection: close" in (answer := slow.hear()) and answer.endswith(b"from afar")
+        assert b"Connection: close" in (answer := slow.receive_message()) and answer.endswith(b"from afar")
         assert agent.wait(timeout=20) == 0
     finally:
         agent.kill()
@@ -199,12 +221,14 @@
 
 def wait_until_signals_are_blocked(agent):
     """Wait until SIGHUP, SIGINT and SIGTERM are blocked, so that early signals stay pending."""
-    assert until(lambda: "SigBlk:\t0000000000004003" in Path(f"/proc/{agent.pid}/status").read_text(), 20)
+    assert wait_until(
+        lambda: "SigBlk:\t0000000000004003" in Path(f"/proc/{agent.pid}/status").read_text(), 20
+    )
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_stop_signal_during_the_start_is_handled_after_it(tmp_path, number):
-    listen_address = free_place()
+    listen_address = free_address()
     config = {**CONFIG, "listen": format_address(listen_address), "discovery": "127.0.0.1:1"}
     agent = start_agent(tmp_path, json.dumps(config).encode())
     try:
@@ -212,10 +236,10 @@
         agent.send_signal(number)
         assert "started" in agent.stderr.readline()
         # A client that connected meanwhile is served before the agent stops.
-        client = Peer(socket.create_connection(listen_address)).send(
+        client = PeerConnection(socket.create_connection(listen_address)).send(
             b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
         )
-        assert client.hear().startswith(b"HTTP/1.1 200 ")
+        assert client.receive_message().startswith(b"HTTP/1.1 200 ")
         assert agent.wait(timeout=20) == 0
     finally:
         agent.kill()
@@ -224,9 +248,13 @@
 
 def test_clients_that_keep_connecting_do_not_delay_the_shutdown(tmp_path):
     release_backend = Event()
-    far = Far(lambda peer: peer.hear() and release_backend.wait() and peer.send(served(b"from afar")))
-    entry = {"instanceId": "s1", "hostPort": format_address(far.address), "zone": "a"}
-    listen_address = free_place()
+    server = ScriptedServer(
+        lambda peer: (
+            peer.receive_message() and release_backend.wait() and peer.send(response_bytes(b"from afar"))
+        )
+    )
+    entry = {"instanceId": "s1", "hostPort": format_address(server.address), "zone": "a"}
+    listen_address = free_address()
     config = {
         **CONFIG,
         "known": {"generation": 1, "reset": True, "instances": [entry]},
@@ -236,8 +264,8 @@
     agent = start_agent(tmp_path, json.dumps(config).encode())
     try:
         assert "started" in agent.stderr.readline()
-        slow = Peer(socket.create_connection(listen_address)).send(asked(b"slow"))
-        assert until(lambda: far.peers)
+        slow = PeerConnection(socket.create_connection(listen_address)).send(request_bytes(b"slow"))
+        assert wait_until(lambda: server.peers)
         agent.send_signal(signal.SIGTERM)
 
         def refused():
@@ -248,9 +276,9 @@
                 return True
             return False
 
-        assert until(refused)
+        assert wait_until(refused)
         release_backend.set()
-        assert slow.hear().endswith(b"from afar")
+        assert slow.receive_message().endswith(b"from afar")
         assert agent.wait(timeout=20) == 0
     finally:
         agent.kill()
@@ -261,13 +289,16 @@
     def entry(address):
         return {"instanceId": "s1", "hostPort": format_address(address), "zone": "a"}
 
-    def discovery(far):
-        whole = {"generation": 1, "reset": True, "instances": [entry(far.address)]}
-        return Far(replies(served(json.dumps(whole).encode())), lambda peer: peer.hear() and gevent.sleep(60))
+    def discovery(server):
+        whole = {"generation": 1, "reset": True, "instances": [entry(server.address)]}
+        return ScriptedServer(
+            reply_script(response_bytes(json.dumps(whole).encode())),
+            lambda peer: peer.receive_message() and gevent.sleep(60),
+        )
 
-    far = Far(replies(served(b"first")))
-    lists = [discovery(far), discovery(Far(replies(served(b"second"))))]
-    listen_address = free_place()
+    server = ScriptedServer(reply_script(response_bytes(b"first")))
+    lists = [discovery(server), discovery(ScriptedServer(reply_script(response_bytes(b"second"))))]
+    listen_address = free_address()
     config = {
         **CONFIG,
         "listen": format_address(listen_address),
@@ -279,24 +310,24 @@
     try:
         assert "started" in agent.stderr.readline()
         assert "reloaded" in agent.stderr.readline()
-        assert until(lambda: len(lists[0].peers) == 2)
-        client = Peer(socket.create_connection(listen_address))
-        assert client.send(asked()).hear().endswith(b"first")
+        assert wait_until(lambda: len(lists[0].peers) == 2)
+        client = PeerConnection(socket.create_connection(listen_address))
+        assert client.send(request_bytes()).receive_message().endswith(b"first")
         file = tmp_path / "config.json"
         file.write_bytes(config_with("discovery", "nowhere"))
         agent.send_signal(signal.SIGHUP)
         refused = agent.stderr.readline()
         assert "refused" in refused and "discovery: " in refused
-        assert client.send(asked(b"r2")).hear().endswith(b"first")
+        assert client.send(request_bytes(b"r2")).receive_message().endswith(b"first")
         config |= {"discovery": format_address(lists[1].address)}
         config["limits"] = CONFIG["limits"] | {"sockets": 128}
         file.write_text(json.dumps(config))
         for _ in range(3):
             agent.send_signal(signal.SIGHUP)
         assert '"sockets"' in agent.stderr.readline()
-        assert until(lambda: len(lists[1].peers) == 2)
+        assert wait_until(lambda: len(lists[1].peers) == 2)
         # The connection stays open, and requests reach the backend at its new address.
-        assert until(lambda: client.send(asked(b"r3")).hear().endswith(b"second"))
+        assert wait_until(lambda: client.send(request_bytes(b"r3")).receive_message().endswith(b"second"))
         agent.send_signal(signal.SIGTERM)
         agent.send_signal(signal.SIGHUP)
         assert agent.wait(timeout=20) == 0
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -23,7 +23,7 @@
 
 import gevent
 from gevent import socket
-from helpers import Far, Peer, free_place, served
+from helpers import PeerConnection, ScriptedServer, free_address, response_bytes
 
 from nettledeal.net.address import format_address
 
@@ -36,14 +36,14 @@
         self.folder = folder
         self.executions: Counter[bytes] = Counter()
         self.counts: Counter[str] = Counter()
-        self.backends = [Far(self._backend) for _ in range(backend_count)]
-        self.listen_address = free_place()
+        self.backends = [ScriptedServer(self._backend) for _ in range(backend_count)]
+        self.listen_address = free_address()
         entries = [
-            {"instanceId": f"s{n}", "hostPort": format_address(far.address), "zone": "a"}
-            for n, far in enumerate(self.backends)
+            {"instanceId": f"s{n}", "hostPort": format_address(server.address), "zone": "a"}
+            for n, server in enumerate(self.backends)
         ]
         catalogue = {"generation": 1, "reset": True, "instances": entries}
-        self.discovery = Far(lambda peer: self._discovery(peer, json.dumps(catalogue).encode()))
+        self.discovery = ScriptedServer(lambda peer: self._discovery(peer, json.dumps(catalogue).encode()))
         category = {"name": "b", "effect": "unsafe", "expiry": 1_000_000_000, "due_time": 400_000_000}
         self.config = {
             "name": "n1",
@@ -60,21 +60,21 @@
             },
         }
         self.started_count = 0
-        self.idle_connections: list[Peer] = []
+        self.idle_connections: list[PeerConnection] = []
 
     def _backend(self, peer):
-        while received := peer.hear():
+        while received := peer.receive_message():
             for line in received.split(b"\r\n"):
                 if line.startswith(b"X-Request-ID: "):
                     self.executions[line[14:]] += 1
             gevent.sleep(SERVICE_TIME_S)
-            peer.send(served(b"done"))
+            peer.send(response_bytes(b"done"))
 
     @staticmethod
     def _discovery(peer, catalogue):
-        received = peer.hear()
+        received = peer.receive_message()
         if b"watch=1" not in received:
-            peer.send(served(catalogue))
+            peer.send(response_bytes(catalogue))
             return
         peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         with suppress(OSError):
@@ -91,7 +91,7 @@
             {**self.config, "settings": {**self.config["settings"], "zone": -1}} if invalid else self.config
         )
         file.write_text(json.dumps(config))
-        admin_address = free_place()
+        admin_address = free_address()
         process = subprocess.Popen(
             [sys.executable, "-O", "-m", "nettledeal"],
             stderr=subprocess.DEVNULL,
@@ -151,9 +151,9 @@
                 peer = (
                     self.idle_connections.pop()
                     if kept and self.idle_connections
-                    else Peer(socket.create_connection(self.listen_address))
+                    else PeerConnection(socket.create_connection(self.listen_address))
                 )
-                received = peer.send(request).hear()
+                received = peer.send(request).receive_message()
             except OSError:
                 received = b""
             if received:
