--- a/src/nettledeal/distribution/protocol.py
+++ b/src/nettledeal/distribution/protocol.py
@@ -1,8 +1,8 @@
 """The messages between publishers and subscribers.
 
-Unknown fields are ignored and fields added later have defaults, so adjacent releases are compatible; a message
-type added later may be sent only to a peer whose `Subscribe` or `Heartbeat` announces a `protocol` version that
-supports it.
+Unknown fields are ignored and fields added later have defaults, so adjacent releases are compatible; a
+message type added later may be sent only to a peer whose `Subscribe` or `Heartbeat` announces a `protocol`
+version that supports it.
 """
 
 from __future__ import annotations
