--- a/tests/features/steps/command_line_steps.py
+++ b/tests/features/steps/command_line_steps.py
@@ -1,4 +1,4 @@
-"""Steps that call the command line, in this process, and look at what it printed."""
+"""Steps that call the command line in this process and check its output."""
 
 from __future__ import annotations
 
--- a/tests/features/steps/data_steps.py
+++ b/tests/features/steps/data_steps.py
@@ -47,7 +47,7 @@
 
 
 def use_folder(context) -> Path:
-    """A fresh folder, which the scenario calls DATA."""
+    """Create an empty folder, which the scenario refers to as DATA."""
     holder = tempfile.TemporaryDirectory(prefix="nettledeal-")
     context.add_cleanup(holder.cleanup)
     context.folder = Path(holder.name) / "data"
@@ -57,12 +57,12 @@
 
 
 def digests(folder: Path) -> dict[str, str]:
-    """What tells whether the files of a folder have changed."""
+    """The digests of a folder's files, to detect changes."""
     return {path.name: hashlib.sha256(path.read_bytes()).hexdigest() for path in sorted(folder.iterdir())}
 
 
 def fill(folder: Path) -> None:
-    """A replica's database with configuration 7."""
+    """Create a replica's database with configuration 7."""
     storage = Storage(folder)
     storage.create("a", AcceptorState())
     body = make_body(7)
--- a/tests/features/steps/operator_steps.py
+++ b/tests/features/steps/operator_steps.py
@@ -1,4 +1,4 @@
-"""Steps for calls of the operator's API over HTTP; the control state behind it is kept in memory."""
+"""Steps that call the operator API over HTTP, with the control state in memory."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class Answer:
-    """What an operator was answered."""
+    """The answer to a call."""
 
     status: int
     body: bytes
@@ -39,13 +39,13 @@
 
 @dataclass
 class Operator:
-    """An operator that calls one machine and remembers the answers."""
+    """An operator that calls one machine and records the answers."""
 
     port: int
     answers: list[Answer] = field(default_factory=list)
 
     def call(self, method: str, path: str, body: bytes = b"", if_match: int | None = None) -> Answer:
-        """Make a call and keep its answer."""
+        """Make a call and record its answer."""
         task = gevent.get_hub().threadpool.spawn(self._call, method, path, body, if_match)
         answer = task.get(timeout=10)
         self.answers.append(answer)
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps for clients of an agent; the backends are stand-ins on loopback."""
+"""Steps for clients of an agent with fake backends on loopback."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 def loses(*_) -> bool:
-    """The backend closes the connection in place of an answer."""
+    """The backend closes the connection without an answer."""
     return False
 
 
 def streams(count: int, whole: bool):
-    """The backend sends events up to `count`, from behind the last one that the request names."""
+    """The backend sends events up to `count`, starting after the request's Last-Event-ID."""
 
     def script(_, sock, request) -> bool:
         first = int(request.headers.get("last-event-id", 0)) + 1
--- a/tests/features/steps/settings_steps.py
+++ b/tests/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the checks of a process's settings."""
+"""Steps that check the validation of a process's settings."""
 
 from __future__ import annotations
 
--- a/tests/features/steps/system_steps.py
+++ b/tests/features/steps/system_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a small system of real processes; every wait is for a condition and has a deadline."""
+"""Steps on a small system of real processes. Every wait is for a condition, with a timeout."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @when("every process has started")
 def have_started(context):
-    """A process that has not begun is ended by SIGTERM itself, without an exit status of its own."""
+    """Before a process has started, SIGTERM kills it without an exit status of its own."""
     for process in context.system.processes:
         process.wait_for("process:started", WITHIN_S)
 
@@ -86,7 +86,7 @@
 
 @then('before long "{text}" prints "{shown}"')
 def prints_before_long(context, text, shown):
-    """A status page is what one machine knows, which follows the orders that the primary acknowledged."""
+    """A status page shows one machine's view, which lags behind commands acknowledged by the primary."""
     wait_until(lambda: shown in call(context, text).stdout, WITHIN_S, f"{text} prints {shown!r}")
 
 
--- a/tests/system/test_plane_failure.py
+++ b/tests/system/test_plane_failure.py
@@ -1,4 +1,4 @@
-"""A plane that can't go on ends the process with its reason."""
+"""A plane that fails ends its process and reports the reason."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FailingPlane:
-    """Finds out after its start that it can't go on."""
+    """Fails shortly after its start."""
 
     def __init__(self):
         self.on_failure = None
--- a/tests/system/test_releases.py
+++ b/tests/system/test_releases.py
@@ -1,5 +1,5 @@
-"""Neighbouring releases in one system: recorded messages of this one, fields of a later one, and real
-processes of both that serve together. The messages of distribution have tests of their own."""
+"""Compatibility of adjacent releases: recorded messages of this one, fields of a later one, and real
+processes of both in one system. The distribution messages have their own tests."""
 
 from pathlib import Path
 
@@ -35,7 +35,7 @@
 BALLOT = Ballot(1, "a", 7)
 CHANGES = (Change("k", b"v"), Change("gone", None))
 
-# Each message as this release writes it. One that becomes unreadable breaks upgrades in place.
+# Each message as this release encodes it. A change that can't read one of them breaks rolling upgrades.
 RECORDED = {
     messages.Hello(INFO, RECORD): (
         "83018661616831302e302e302e31627a316272316b31302e302e302e313a383002850361618261616162828661616831"
@@ -67,7 +67,7 @@
     messages.Ranges(3, 5, (0,), CHANGES): ("8510030581008282616b41768264676f6e65f6"),
     messages.ForeignCluster("c"): ("82116163"),
 }
-# As releases wrote them that knew no clusters, and no leaves and lives.
+# As encoded by releases without cluster ids, orderly leaves and incarnations.
 RECORDED_EARLIER = {
     messages.Hello(INFO, EARLIER_RECORD): (
         "83018661616831302e302e302e31627a316272316b31302e302e302e313a383002840361618261616162828661616831"
--- a/tests/system/test_standins.py
+++ b/tests/system/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins: what engines keep of prompts, and which answers a client takes for whole."""
+"""The stand-ins: the engines' prefix cache, and the answers that a client accepts as complete."""
 
 from random import Random
 
@@ -25,7 +25,7 @@
     return [PromptPart(*part) for part in named]
 
 
-def test_a_prompt_s_parts():
+def test_prompt_parts_are_parsed():
     assert parse_prompt("a:800, b:410") == parts(("a", 800), ("b", 410))
     assert parse_prompt("") == []
     with pytest.raises(ValueError, match="Prompt-Prefix"):
@@ -38,13 +38,13 @@
     assert cache.prefill(parts(("a", 300), ("c", 100))) == 300
 
 
-def test_a_part_helps_only_after_the_same_parts():
+def test_a_part_is_a_hit_only_after_the_same_parts():
     cache = PrefixCache(1000)
     cache.prefill(parts(("a", 300), ("b", 100)))
     assert cache.prefill(parts(("x", 300), ("b", 100))) == 0
 
 
-def test_the_parts_unused_longest_give_way():
+def test_the_least_recently_used_parts_are_evicted():
     cache = PrefixCache(500)
     cache.prefill(parts(("a", 300)))
     cache.prefill(parts(("b", 300)))
@@ -65,7 +65,7 @@
     assert len(parse_configuration(make_configuration(2, with_extra_route=True)).routes) == 4
 
 
-def test_a_condition_that_does_not_come():
+def test_a_condition_that_never_holds_times_out():
     with pytest.raises(Exception, match="timed_out: wait until it rains"):
         wait_until(lambda: False, 0.0, "it rains")
 
@@ -80,7 +80,7 @@
 
 @pytest.fixture
 def direct():
-    """A client that is sent straight to a stand-in backend, and the backend."""
+    """A client that sends directly to a stand-in backend, and the backend."""
     backend = StandInBackend(
         Backend("m-1", "model", "127.9.9.8:0", "z"), Address("127.9.9.8", 0), EngineSpeed(), 99
     )
--- a/tests/system/test_whole_system.py
+++ b/tests/system/test_whole_system.py
@@ -1,4 +1,4 @@
-"""Whole systems as real processes on loopback: every wait is for a condition and has a deadline."""
+"""Whole systems of real processes on loopback. Every wait is for a condition, with a timeout."""
 
 from pathlib import Path
 
@@ -19,11 +19,11 @@
 WITHIN_S = 60.0
 KINDS = (BRIEF, QUESTION, CARD)
 NO_TIME = EngineSpeed()
-BOUNDS = Bounds(grace_s=2.0)  # a data plane's orderly end takes a good part of it
+BOUNDS = Bounds(grace_s=2.0)  # a large part of it is needed for a data plane's shutdown
 
 
 class RunningSystem:
-    """A small system that holds configuration 1, and clients in each zone."""
+    """A small system with configuration 1, and clients in each zone."""
 
     def __init__(self, folder, number: int, edges: int):
         layout = Layout(Network.of_this_process(number), edges=edges, bounds=BOUNDS)
@@ -32,7 +32,7 @@
         self.clients = Traffic([], layout.directory_addresses).clients
 
     def bring_up(self, programs: dict[str, Path]) -> None:
-        """Start all; `programs` names those processes that run another program."""
+        """Start all processes; `programs` maps the names of those that run another program to it."""
         for process in self.system.processes:
             process.program = programs.get(process.name, process.program)
         self.system.start()
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def start(tmp_path):
-    """Starts systems; they are ended with the test, and each process that ran must end with 0."""
+    """Starts systems; they are stopped after the test, and each running process must exit with 0."""
     started = []
 
     def bring_up(edges: int, programs: dict[str, Path] | None = None) -> RunningSystem:
@@ -156,7 +156,7 @@
 
 
 def test_a_core_without_any_disk_left_is_set_up_anew(start):
-    """The operators' last resort: as at the first start, with the configuration put again."""
+    """The last resort for operators: bootstrap again and put the configuration again."""
     running = start(edges=1)
     for process in running.system.processes:
         process.kill()
