--- a/src/nettledeal/cli.py
+++ b/src/nettledeal/cli.py
@@ -71,7 +71,7 @@
         if file.suffix == ".toml":
             from nettledeal.fleet import experiment
 
-            experiment.read(file)
+            experiment.load_experiment(file)
         else:
             configuration.read(os.environ | {"EDGE_CONFIG": str(file)})
     except ConfigError as fault:
@@ -173,14 +173,14 @@
     nettledeal fleet run experiments/first.toml
     nettledeal fleet run experiments/calm.toml --agents 200 --beside landed=../before/src --out results/calm
     """
-    from nettledeal.fleet import experiment, play
+    from nettledeal.fleet import experiment, experiment_runner
 
     try:
-        asked = experiment.read(file, agents=agents, seed=seed, policies=policies, beside=beside)
+        plan = experiment.load_experiment(file, agents=agents, seed=seed, policies=policies, beside=beside)
     except ConfigError as fault:
         raise _refused(file, fault) from None
     try:
-        return play.play(asked, out, as_json, runs)
+        return experiment_runner.run_experiment(plan, out, as_json, runs)
     except ConfigError as fault:
         raise _refused(None, fault) from None
 
@@ -205,7 +205,7 @@
     nettledeal fleet talk --members 200 --loss 0.2 --pause 5 --minutes 10
     """
     from nettledeal.fleet import membership_trial
-    from nettledeal.fleet.processes import Broken
+    from nettledeal.fleet.child_processes import RunAborted
 
     try:
         found = membership_trial.measure(
@@ -216,7 +216,7 @@
             deaths=deaths,
             progress=lambda what: click.echo(what, err=True),
         )
-    except Broken as fault:
+    except RunAborted as fault:
         click.echo(f"nettledeal: {fault}; all that was started has ended", err=True)
         return 1
     if as_json:
--- a/src/nettledeal/fleet/__init__.py
+++ b/src/nettledeal/fleet/__init__.py
@@ -1,9 +1,9 @@
-"""A fleet of real processes under faults of our own, to see and measure what many agents do together.
+"""Experiments with a fleet of real agent processes under injected faults.
 
-`experiment` reads what is asked, `script` decides what breaks when, `server` is a stand-in backend as a
-machine without sockets, `links` what happens to what is sent; these are pure, so the same may be played
-without processes. `backends`, `roster`, `clients` and `switch` host them on loopback sockets, each a
-process; `rig` starts, breaks and ends all of it. `checker` counts broken rules and `measures` tells how
-even the load was, both from what clients and stand-ins wrote down, and neither knows the decision module.
-An agent in it is the very program that runs beside a caller; nothing here is loaded by it.
+`experiment` reads the experiment file, `fault_schedule` derives the faults, `server_model` models a backend
+and `links` the conditions of network links; these are deterministic and start no processes. `backends`,
+`roster`, `clients` and `switch` are child processes on loopback sockets; `rig` starts and stops all of them
+and `fault_injection` applies the faults. `rule_checker` finds broken rules and `load_metrics` measures load
+balance, both from the records of clients and backends and independently of the decision module. Agents are
+the real program and load nothing from this package.
 """
--- a/src/nettledeal/fleet/agents.py
+++ b/src/nettledeal/fleet/agents.py
@@ -1,4 +1,4 @@
-"""The agents of a rig as processes: started, paused, killed, restarted, and ended with it."""
+"""Agent processes of a rig: starting, pausing, killing, restarting and stopping them."""
 
 from __future__ import annotations
 
@@ -14,55 +14,66 @@
 import msgspec
 from gevent import socket, subprocess
 
-from nettledeal.fleet.configurations import Configurations
+from nettledeal.fleet.child_processes import RunAborted, kill_and_wait, kill_with_parent
+from nettledeal.fleet.child_runtime import now
+from nettledeal.fleet.configurations import ProcessConfigurations
 from nettledeal.fleet.experiment import Experiment
-from nettledeal.fleet.processes import Broken, bound_to_parent, end
-from nettledeal.fleet.site import PORT, Site
-from nettledeal.fleet.wires import now
-
-READY_WITHIN = 60.0  # seconds from the start of the last one until all serve
-
-
-class Agents:
-    def __init__(self, experiment: Experiment, told: Configurations, site: Site, tree: Path, folder: Path):
-        """`tree` holds the source that they run."""
-        self.experiment, self.told, self.site = experiment, told, site
-        self.tree, self.folder = tree, folder
+from nettledeal.fleet.loopback_addresses import AGENT_PORT, LoopbackAddresses
+
+READY_TIMEOUT_S = 60.0  # from the start of the last agent until all accept connections
+
+
+class AgentProcesses:
+    def __init__(
+        self,
+        experiment: Experiment,
+        configurations: ProcessConfigurations,
+        addresses: LoopbackAddresses,
+        source_tree: Path,
+        folder: Path,
+    ):
+        """`source_tree` is the source tree that the agents run."""
+        self.experiment, self.configurations, self.addresses = experiment, configurations, addresses
+        self.source_tree, self.folder = source_tree, folder
         self.processes: dict[int, subprocess.Popen] = {}
-        self.starts: dict[int, int] = {}
-        self.down: dict[int, str] = {}  # those that the script has stopped or ended
-        self.harmed: list[list[int | None]] = []  # (agent, from, until) in which it could not act
-        self.jobs: list[gevent.Greenlet] = []
+        self.start_counts: dict[int, int] = {}
+        self.stopped_by_fault: dict[int, str] = {}  # agents that a fault has paused or killed, with the verb
+        # [agent, since, until]: spans in which an agent could not act
+        self.disruptions: list[list[int | None]] = []
+        self.greenlets: list[gevent.Greenlet] = []
 
     def start_all(self, progress: Callable[[str, float], None]) -> None:
-        e = self.experiment
-        # Or each of them would compile all of it anew; a tree that is read-only has it already, or is slow.
+        experiment = self.experiment
+        # Compile once, so that not every agent compiles the whole tree. Failure is harmless: a read-only tree
+        # is compiled already, or agents start more slowly.
         subprocess.call(
-            [sys.executable, "-O", "-m", "compileall", "-q", str(self.tree)],
+            [sys.executable, "-O", "-m", "compileall", "-q", str(self.source_tree)],
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
         )
-        for n in range(e.agents.count):
+        for n in range(experiment.agents.count):
             self._start(n)
-            progress("starting agents", n / e.agents.count)
-            gevent.sleep(e.agents.start_within / e.agents.count)
-        limit = time.monotonic() + READY_WITHIN
-        for n in range(e.agents.count):
-            while not self.serves(n):
+            progress("starting agents", n / experiment.agents.count)
+            gevent.sleep(experiment.agents.start_within / experiment.agents.count)
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        for n in range(experiment.agents.count):
+            while not self.is_serving(n):
                 if (status := self.processes[n].poll()) is not None:
-                    raise Broken(f"agent {n} ended with {status}: {self.last_words(n)}")
-                if time.monotonic() > limit:
-                    why = f"does not serve after {READY_WITHIN:g} s: {self.last_words(n)}"
-                    raise Broken(f"agent {n} {why}")
+                    raise RunAborted(f"agent {n} exited with status {status}: {self.last_log_line(n)}")
+                if time.monotonic() > deadline:
+                    reason = (
+                        f"does not accept connections after {READY_TIMEOUT_S:g} s: {self.last_log_line(n)}"
+                    )
+                    raise RunAborted(f"agent {n} {reason}")
                 gevent.sleep(0.05)
-            progress("waiting for agents", n / e.agents.count)
+            progress("waiting for agents", n / experiment.agents.count)
 
     def _start(self, n: int) -> None:
         home = self.folder / f"agent-{n}"
         home.mkdir(exist_ok=True)
-        self.starts[n] = self.starts.get(n, 0) + 1
+        self.start_counts[n] = self.start_counts.get(n, 0) + 1
         file = home / "config.json"
-        file.write_bytes(msgspec.json.encode(self.told.agent(n, self.starts[n])))
+        file.write_bytes(msgspec.json.encode(self.configurations.agent(n, self.start_counts[n])))
         with (self.folder / f"agent-{n}.log").open("ab") as log:
             self.processes[n] = subprocess.Popen(
                 [sys.executable, "-O", "-m", "nettledeal"],
@@ -71,61 +82,61 @@
                 stderr=log,
                 env={
                     "PATH": os.environ.get("PATH", ""),
-                    "PYTHONPATH": str(self.tree),
+                    "PYTHONPATH": str(self.source_tree),
                     "TMPDIR": str(home),
                     "EDGE_CONFIG": str(file),
                 },
-                preexec_fn=bound_to_parent,
+                preexec_fn=kill_with_parent,
                 start_new_session=True,
             )
 
-    def serves(self, n: int) -> bool:
+    def is_serving(self, n: int) -> bool:
         sock = socket.socket()
         try:
             sock.settimeout(2.0)
-            sock.connect((self.site.agent(n), PORT))
+            sock.connect((self.addresses.agent(n), AGENT_PORT))
             return True
         except OSError:
             return False
         finally:
             sock.close()
 
-    def last_words(self, n: int) -> str:
+    def last_log_line(self, n: int) -> str:
         lines = (self.folder / f"agent-{n}.log").read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it said nothing"
+        return lines[-1] if lines else "its log is empty"
 
-    def harm(self, verb: str, n: int) -> None:
-        """What the script has done to one: `pause`, `go on`, `kill`, `start` or `restart`."""
+    def apply_fault(self, verb: str, n: int) -> None:
+        """Applies a fault to an agent: `pause`, `go on`, `kill`, `start` or `restart`."""
         process = self.processes[n]
         if verb in ("pause", "kill", "restart"):
-            self.harmed.append([n, now(), None])
+            self.disruptions.append([n, now(), None])
         match verb:
             case "pause":
-                self.down[n] = verb
+                self.stopped_by_fault[n] = verb
                 process.send_signal(signal.SIGSTOP)
             case "go on":
                 process.send_signal(signal.SIGCONT)
-                self.down.pop(n, None)
+                self.stopped_by_fault.pop(n, None)
             case "kill":
-                self.down[n] = verb
+                self.stopped_by_fault[n] = verb
                 process.kill()
                 process.wait()
             case "start":
                 self._start(n)
-                self.down.pop(n, None)
+                self.stopped_by_fault.pop(n, None)
             case "restart":
-                self.down[n] = verb
-                self.jobs.append(gevent.spawn(self._restart, n))
+                self.stopped_by_fault[n] = verb
+                self.greenlets.append(gevent.spawn(self._restart, n))
         if verb in ("go on", "start"):
-            self._healed(n)
+            self._end_disruption(n)
 
-    def _healed(self, n: int) -> None:
-        for entry in self.harmed:
-            if entry[0] == n and entry[2] is None:
-                entry[2] = now()
+    def _end_disruption(self, n: int) -> None:
+        for disruption in self.disruptions:
+            if disruption[0] == n and disruption[2] is None:
+                disruption[2] = now()
 
     def _restart(self, n: int) -> None:
-        """In order: it is asked to end, given the time that it may take, and started again."""
+        """Restarts gracefully: SIGTERM, time to finish its requests, then a new process."""
         process = self.processes[n]
         process.send_signal(signal.SIGTERM)
         try:
@@ -134,23 +145,23 @@
             process.kill()
             process.wait()
         self._start(n)
-        self.down.pop(n, None)
-        while not self.serves(n):
+        self.stopped_by_fault.pop(n, None)
+        while not self.is_serving(n):
             gevent.sleep(0.05)
-        self._healed(n)
+        self._end_disruption(n)
 
-    def ended(self) -> str | None:
-        """Why the run cannot go on, if one has ended that the script has not."""
+    def unexpected_exit(self) -> str | None:
+        """Describes the first agent that exited without a fault having stopped it, if there is one."""
         for n, process in list(self.processes.items()):
-            if n not in self.down and process.poll() is not None:
-                return f"agent {n} ended with {process.returncode}: {self.last_words(n)}"
+            if n not in self.stopped_by_fault and process.poll() is not None:
+                return f"agent {n} exited with status {process.returncode}: {self.last_log_line(n)}"
         return None
 
-    def end(self) -> None:
-        """All at once, then each waited for."""
+    def stop(self) -> None:
+        """Kills all agents, then waits for each."""
         for process in self.processes.values():
             with suppress(ProcessLookupError):
                 if process.poll() is None:
                     process.kill()
         for process in self.processes.values():
-            end(process)
+            kill_and_wait(process)
--- a/src/nettledeal/fleet/backends.py
+++ b/src/nettledeal/fleet/backends.py
@@ -1,8 +1,9 @@
-"""A process of stand-in backends: `server.Server`s on sockets, and what each saw written down.
+"""A child process that hosts simulated backends: `ServerModel`s behind sockets, with records of events.
 
-A record is (time, backend, id in the list, what, work item): `came` and begins to wait, `full`, `began`,
-`done`, `left` (its agent went away while it waited), `gone` (went away while it ran), `probe`, `connected`,
-`fell`.
+A record is (time, backend, id in the backend list, event, request). Events of requests: `came` (received and
+queued), `full` (rejected), `began`, `done`, `left` (its agent disconnected while it was queued), `gone` (its
+agent disconnected while it was running). Other events: `probe`, `connected`, `no place` (connection
+rejected), `died` (crash), `fell` (crash from overload while cold).
 """
 
 from __future__ import annotations
@@ -15,193 +16,201 @@
 from gevent import socket
 from gevent.event import Event
 
-from nettledeal.fleet.http import Heard, requests, written
-from nettledeal.fleet.server import FULL, Server
-from nettledeal.fleet.wires import Post, accepting, now
+from nettledeal.fleet.child_runtime import ControlPipe, accept_connections, now
+from nettledeal.fleet.http import HttpMessage, encode_response, read_requests
+from nettledeal.fleet.server_model import FULL, ServerModel
 from nettledeal.net.transport.sockets import listening_socket, reset_connection, wait_readable
 
-TURNED_AWAY = written("503 Full", more="X-Not-Processed: 1\r\n")
+REJECTION = encode_response("503 Full", extra_headers="X-Not-Processed: 1\r\n")
 
 
 class Backend:
-    def __init__(self, number: int, told: dict, post: Post, held: mmap.mmap):
-        self.number, self.told, self.post, self.held = number, told, post, held
-        self.place = tuple(told["place"])
-        self.life, self.name = 0, f"b{number}"
-        self.sock: socket.socket | None = None
-        self.peers: set[socket.socket] = set()
-        self.ends: dict[tuple[bytes, int], Event] = {}  # by work item and how many came before it
-        self.count = 0
-        self.chance = Random(f"{told['seed']} backend {number}")
-        self.server = self._server(now() if told["cold"] else 0)
+    def __init__(self, number: int, config: dict, pipe: ControlPipe, held: mmap.mmap):
+        self.number, self.config, self.pipe, self.held = number, config, pipe, held
+        self.address = tuple(config["place"])
+        self.incarnation, self.name = 0, f"b{number}"
+        self.listener: socket.socket | None = None
+        self.connections: set[socket.socket] = set()
+        self.completions: dict[tuple[bytes, int], Event] = {}  # by request id and sequence number
+        self.request_count = 0
+        self.rng = Random(f"{config['seed']} backend {number}")
+        self.server = self._new_server(now() if config["cold"] else 0)
         self._listen()
 
-    def _server(self, started: int) -> Server:
-        told = self.told
-        return Server(
-            told["cores"],
-            told["speed"],
-            told["queue"],
-            told["report_every"],
-            told["report_lag"],
-            told["cold_from"],
-            told["warm_within"],
-            told["push"],
-            told["push_for"],
-            self.chance,
+    def _new_server(self, started: int) -> ServerModel:
+        config = self.config
+        return ServerModel(
+            config["cores"],
+            config["speed"],
+            config["queue"],
+            config["report_every"],
+            config["report_lag"],
+            config["cold_from"],
+            config["warm_within"],
+            config["push"],
+            config["push_for"],
+            self.rng,
             started=started,
         )
 
     def _listen(self) -> None:
-        self.sock = listening_socket(self.place)
-        gevent.spawn(accepting, self.sock, self._serve)
+        self.listener = listening_socket(self.address)
+        gevent.spawn(accept_connections, self.listener, self._serve)
 
-    def _note(self, what: str, id: bytes = b"") -> None:
-        self.post.records.append((now(), self.number, self.name, what, id.decode("ascii", "replace")))
+    def _record(self, event: str, request_id: bytes = b"") -> None:
+        self.pipe.records.append(
+            (now(), self.number, self.name, event, request_id.decode("ascii", "replace"))
+        )
 
     def crash(self) -> None:
-        """Dies: its connections are reset, what it held is lost, new ones are refused."""
-        if self.sock is not None:
-            self.sock.close()
-            self.sock = None
-        for peer in list(self.peers):
-            reset_connection(peer)  # a reset, as a dead process leaves it
-        self.peers.clear()
-        self._note("died")
-        self.life += 1
-        ends, self.ends = self.ends, {}
-        self.server = self._server(now())
-        for end in ends.values():
-            end.set()  # whoever waits for it finds another life
-        self._show()
-
-    def come_back(self, name: str) -> None:
-        """At the same place, cold; a successor has an id of its own."""
+        """Simulates a crash: connections are reset, held requests are lost, new connections are refused."""
+        if self.listener is not None:
+            self.listener.close()
+            self.listener = None
+        for connection in list(self.connections):
+            reset_connection(connection)
+        self.connections.clear()
+        self._record("died")
+        self.incarnation += 1
+        completions, self.completions = self.completions, {}
+        self.server = self._new_server(now())
+        for completed in completions.values():
+            completed.set()  # the waiting greenlet sees that the incarnation has changed
+        self._publish_held()
+
+    def restart(self, name: str) -> None:
+        """Listens again at the same address, cold; a replacement gets a new id."""
         self.name = name
         self.server.started = now()
         self._listen()
 
-    def _show(self) -> None:
-        """For policies that see true queues, in memory that all processes share."""
-        at = 4 * self.number
-        self.held[at : at + 4] = self.server.held.to_bytes(4, "little")
+    def _publish_held(self) -> None:
+        """Publishes the number of held requests in shared memory, for policies that see true queues."""
+        offset = 4 * self.number
+        self.held[offset : offset + 4] = self.server.held.to_bytes(4, "little")
 
-    def _serve(self, peer: socket.socket, _: tuple) -> None:
-        if len(self.peers) >= self.told["places"]:
-            self._note("no place")
-            peer.sendall(TURNED_AWAY)
-            peer.close()
+    def _serve(self, connection: socket.socket, _: tuple) -> None:
+        if len(self.connections) >= self.config["places"]:
+            self._record("no place")
+            connection.sendall(REJECTION)
+            connection.close()
             return
-        self.peers.add(peer)
-        self._note("connected")
+        self.connections.add(connection)
+        self._record("connected")
         try:
-            for heard in requests(peer):
-                self._request(peer, heard)
+            for request in read_requests(connection):
+                self._request(connection, request)
         except OSError:
             pass
         finally:
-            self.peers.discard(peer)
-            peer.close()
+            self.connections.discard(connection)
+            connection.close()
 
-    def _report(self) -> str:
+    def _load_report(self) -> str:
         held, waiting = self.server.report(now())
         return f"X-Server-Load: inflight={held},queue={waiting}\r\n"
 
-    def _request(self, peer: socket.socket, heard: Heard) -> None:
-        if heard.url.startswith((b"/_load", b"/ping")):
-            self._note("probe")
+    def _request(self, connection: socket.socket, request: HttpMessage) -> None:
+        if request.url.startswith((b"/_load", b"/ping")):
+            self._record("probe")
             if self.server.hung:
-                gevent.sleep(60)  # a hung process answers nothing
-            report = self._report()[15:-2].encode() if heard.url.startswith(b"/_load") else b""
-            peer.sendall(written("200 OK", report))
+                gevent.sleep(60)  # a hung backend doesn't answer
+            report = self._load_report()[15:-2].encode() if request.url.startswith(b"/_load") else b""
+            connection.sendall(encode_response("200 OK", report))
             return
-        id, life = heard.headers.get(b"x-request-id", b""), self.life
-        work = int(parse_qs(urlsplit(heard.url).query).get(b"w", [b"1"])[0])
-        server, end = self.server, Event()
-        self.count += 1
-        key, fell = (id, self.count), server.fallen
+        request_id, incarnation = request.headers.get(b"x-request-id", b""), self.incarnation
+        work = int(parse_qs(urlsplit(request.url).query).get(b"w", [b"1"])[0])
+        server, completed = self.server, Event()
+        self.request_count += 1
+        key, was_crashed = (request_id, self.request_count), server.crashed
         if server.arrive(now(), key, work) == FULL:
-            self._note("full", id)
-            if server.fallen and not fell:
-                self._note("fell")
-            peer.sendall(written("503 Full", more="X-Not-Processed: 1\r\n" + self._report()))
+            self._record("full", request_id)
+            if server.crashed and not was_crashed:
+                self._record("fell")
+            connection.sendall(
+                encode_response("503 Full", extra_headers="X-Not-Processed: 1\r\n" + self._load_report())
+            )
             return
-        self._note("came", id)
-        self.ends[key] = end
-        self._show()
-        self._begin(server)
-        wait_readable(end, peer, None)
-        if self.ends.get(key) is end:
-            # Not done yet, so the connection has woken it, and nothing but an end comes on one at work.
-            del self.ends[key]
-            left = server.leave(now(), key)
-            self._note("left" if left else "gone", id)
-            self._show()
-            raise OSError("its agent has gone")
-        if life != self.life:
+        self._record("came", request_id)
+        self.completions[key] = completed
+        self._publish_held()
+        self._start_waiting(server)
+        wait_readable(completed, connection, None)
+        if self.completions.get(key) is completed:
+            # Not completed, so the connection became readable. During a request that can only mean that it
+            # was closed.
+            del self.completions[key]
+            was_waiting = server.cancel(now(), key)
+            self._record("left" if was_waiting else "gone", request_id)
+            self._publish_held()
+            raise OSError("the agent has disconnected")
+        if incarnation != self.incarnation:
             raise OSError("died")
-        if self.chance.random() < server.losing:
-            while peer.recv(4096):
-                pass  # it was done, and nobody is told
+        if self.rng.random() < server.lost_answer_share:
+            while connection.recv(4096):
+                pass  # executed, but the answer is lost
             raise OSError("lost")
-        if self.chance.random() < server.erring:
-            peer.sendall(written("500 Error", more=self._report()))
+        if self.rng.random() < server.error_share:
+            connection.sendall(encode_response("500 Error", extra_headers=self._load_report()))
             return
-        peer.sendall(written("200 OK", b"%d" % self.number, self._report()))
+        connection.sendall(encode_response("200 OK", b"%d" % self.number, self._load_report()))
 
-    def _begin(self, server: Server) -> None:
-        for key, took in server.begin(now()):
-            self._note("began", key[0])
-            gevent.spawn_later(took / 10_000, self._done, server, key)
+    def _start_waiting(self, server: ServerModel) -> None:
+        for key, duration in server.begin(now()):
+            self._record("began", key[0])
+            gevent.spawn_later(duration / 10_000, self._finish, server, key)
 
-    def _done(self, server: Server, key: tuple[bytes, int]) -> None:
+    def _finish(self, server: ServerModel, key: tuple[bytes, int]) -> None:
         if server is not self.server:
             return
-        server.done(now(), key)
-        self._note("done", key[0])
-        self._show()
-        end = self.ends.pop(key, None)
-        if end is not None:
-            end.set()
-        self._begin(server)
-
-    def order(self, verb: str, figure: float | bool | str) -> None:
+        server.finish(now(), key)
+        self._record("done", key[0])
+        self._publish_held()
+        completed = self.completions.pop(key, None)
+        if completed is not None:
+            completed.set()
+        self._start_waiting(server)
+
+    def order(self, verb: str, value: float | bool | str) -> None:
         server = self.server
         match verb:
             case "slow":
-                server.slower = figure
+                server.slowdown = value
             case "hang":
-                server.hung = bool(figure)
-                self._begin(server)
+                server.hung = bool(value)
+                self._start_waiting(server)
             case "errors":
-                server.erring = figure
+                server.error_share = value
             case "lost":
-                server.losing = figure
+                server.lost_answer_share = value
             case "late_reports":
-                server.extra_lag = round(figure * 10_000)
+                server.extra_lag = round(value * 10_000)
             case "false_reports":
-                server.false = figure
+                server.report_factor = value
             case "chill":
                 server.started = now()
             case "crash":
                 self.crash()
             case "return":
-                self.come_back(str(figure))
+                self.restart(str(value))
             case unknown:
-                raise ValueError(f"no order {unknown!r}")
+                raise ValueError(f"unknown command {unknown!r}")
 
 
 def main() -> None:
-    post = Post()
-    told = post.told()
-    with open(told["held"], "r+b") as file:
+    pipe = ControlPipe()
+    config = pipe.read_message()
+    with open(config["held"], "r+b") as file:
         held = mmap.mmap(file.fileno(), 0)
-    backends = {one["number"]: Backend(one["number"], one, post, held) for one in told["backends"]}
-    post.say(ready=True)
-
-    def order(told: dict) -> None:
-        for number in told["who"]:
+    backends = {
+        backend_config["number"]: Backend(backend_config["number"], backend_config, pipe, held)
+        for backend_config in config["backends"]
+    }
+    pipe.say(ready=True)
+
+    def order(message: dict) -> None:
+        for number in message["who"]:
             if number in backends:
-                backends[number].order(told["do"], told["figure"])
+                backends[number].order(message["do"], message["figure"])
 
-    post.serve(order)
+    pipe.serve(order)
--- a/src/nettledeal/fleet/clients.py
+++ b/src/nettledeal/fleet/clients.py
@@ -1,9 +1,8 @@
-"""A process of open-loop clients: each work item is sent at its time, whatever became of those before.
+"""A child process of open-loop clients: each request is sent at its time, regardless of earlier ones.
 
-A record is (work item, agent, category, scheduled, sent, answered, status, backend): times on the rig's
-clock; status 0 where nothing came before the client stopped waiting, -1 where its agent could not be
-reached. Where a baseline is played, its policy takes the agents' place in this process and sends to the
-stand-ins itself.
+A record is (request, agent, category, scheduled, sent, answered, status, backend), with times on the rig's
+clock. Status 0 means that no answer came before the client stopped waiting, -1 that its agent could not be
+reached. For a baseline policy, this process takes the place of the agents and sends to the backends directly.
 """
 
 from __future__ import annotations
@@ -15,163 +14,173 @@
 import gevent
 from gevent import socket
 
-from nettledeal.fleet.http import answer
-from nettledeal.fleet.wires import Post, now
+from nettledeal.fleet.child_runtime import ControlPipe, now
+from nettledeal.fleet.http import read_response
 from nettledeal.net.protocol.load_report import parse_load_report
 from nettledeal.net.transport.sockets import disable_nagle, peek_byte
 
-SLACK = 500  # a client asks on for a moment after its expiry, as the rule on answers is judged with one
-# It reads on for so long after that, so that an answer which comes late is told from none.
-PATIENCE = 50_000
+# Tenths of a millisecond. Clients may retry a little beyond the deadline, as the rule on answers has a
+# tolerance.
+DEADLINE_SLACK = 500
+# Then they keep reading for this long, to tell a late answer from a missing one.
+LATE_ANSWER_WAIT = 50_000
 
 
-class Pool:
-    """Kept connections to one place."""
+class ConnectionPool:
+    """Persistent connections to one address."""
 
-    def __init__(self, place: tuple[str, int]):
-        self.place = place
-        self.resting: list[socket.socket] = []
+    def __init__(self, address: tuple[str, int]):
+        self.address = address
+        self.idle_sockets: list[socket.socket] = []
 
-    def ask(self, message: bytes, by: int, patience: int = 0) -> tuple[int, bytes, bytes]:
-        """Status, body and load report; status 0 where none came by then and `patience`, -1 where nothing was
-        sent."""
-        # One whose other end died or closed while it rested is seen to have ended, as usual clients see it.
-        while self.resting and peek_byte(self.resting[-1]) is not None:
-            self.resting.pop().close()
-        fresh = not self.resting
-        sock = socket.socket() if fresh else self.resting.pop()
+    def send(self, message: bytes, deadline: int, extra_wait: int = 0) -> tuple[int, bytes, bytes]:
+        """Returns status, body and load report.
+
+        Status 0 means no answer by the deadline plus `extra_wait`, -1 that nothing was sent.
+        """
+        # Drop connections that were closed while idle.
+        while self.idle_sockets and peek_byte(self.idle_sockets[-1]) is not None:
+            self.idle_sockets.pop().close()
+        is_new = not self.idle_sockets
+        sock = socket.socket() if is_new else self.idle_sockets.pop()
         try:
-            sock.settimeout(max(0.001, (by + patience - now()) / 10_000))
-            if fresh:
-                sock.connect(self.place)
+            sock.settimeout(max(0.001, (deadline + extra_wait - now()) / 10_000))
+            if is_new:
+                sock.connect(self.address)
                 disable_nagle(sock)
             sock.sendall(message)
         except OSError:
             sock.close()
-            # A kept connection that has just been ended: once more on a new one.
-            return (-1, b"", b"") if fresh or by <= now() else self.ask(message, by, patience)
-        with gevent.Timeout(max(0.001, (by + patience - now()) / 10_000), False):
-            heard = answer(sock)
-            if heard is None and not fresh and by > now() and message.startswith(b"GET"):
-                # Ended under it, read or not: only what may run again is sent once more.
+            # A persistent connection that was closed in the meantime: retry on another one.
+            return (-1, b"", b"") if is_new or deadline <= now() else self.send(message, deadline, extra_wait)
+        with gevent.Timeout(max(0.001, (deadline + extra_wait - now()) / 10_000), False):
+            response = read_response(sock)
+            if response is None and not is_new and deadline > now() and message.startswith(b"GET"):
+                # Closed without an answer, maybe after the request was read: retry only if idempotent.
                 sock.close()
-                return self.ask(message, by, patience)
-            if heard is not None:
-                status, message_heard = heard
-                if message_heard.headers.get(b"connection", b"").lower() == b"close":
+                return self.send(message, deadline, extra_wait)
+            if response is not None:
+                status, http_response = response
+                if http_response.headers.get(b"connection", b"").lower() == b"close":
                     sock.close()
                 else:
-                    self.resting.append(sock)
-                return status, message_heard.body, message_heard.headers.get(b"x-server-load", b"")
+                    self.idle_sockets.append(sock)
+                return status, http_response.body, http_response.headers.get(b"x-server-load", b"")
         sock.close()
         return 0, b"", b""
 
 
-def request(category: dict, id: str, work: int, wait_ms: int) -> bytes:
+def encode_request(category: dict, request_id: str, work: int, timeout_ms: int) -> bytes:
     method, body = ("GET", b"") if category["effect"] == "safe" else ("POST", b"x")
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     return (
-        f"{method} /work?w={work} HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id}\r\n"
-        f"X-Priority-Class: {category['name']}\r\nX-Timeout-Ms: {wait_ms}\r\n{length}\r\n"
+        f"{method} /work?w={work} HTTP/1.1\r\nHost: s\r\nX-Request-ID: {request_id}\r\n"
+        f"X-Priority-Class: {category['name']}\r\nX-Timeout-Ms: {timeout_ms}\r\n{length}\r\n"
     ).encode() + body
 
 
-class Through:
-    """By way of the agents."""
+class AgentSender:
+    """Sends requests to the agents."""
 
-    def __init__(self, told: dict):
-        self.pools = {int(n): Pool(tuple(place)) for n, place in told["agents"].items()}
+    def __init__(self, config: dict):
+        self.pools = {
+            int(agent): ConnectionPool(tuple(address)) for agent, address in config["agents"].items()
+        }
 
-    def __call__(self, agent: int, category: dict, message: bytes, by: int) -> tuple[int, bytes]:
-        status, body, _ = self.pools[agent].ask(message, by + SLACK, PATIENCE)
+    def __call__(self, agent: int, category: dict, message: bytes, deadline: int) -> tuple[int, bytes]:
+        status, body, _ = self.pools[agent].send(message, deadline + DEADLINE_SLACK, LATE_ANSWER_WAIT)
         return status, body
 
 
-class Baseline:
-    """A policy that agents are compared with: it picks among all stand-ins and knows no rule of theirs."""
+class BaselinePolicy:
+    """A simple policy to compare agents with: chooses among all backends and ignores the platform's rules."""
 
-    def __init__(self, policy: str, told: dict):
+    def __init__(self, policy: str, config: dict):
         self.policy = policy
-        self.chance = Random(f"{told['seed']} {policy}")
-        self.pools = [Pool(tuple(place)) for place in told["backends"]]
-        with open(told["held"], "r+b") as file:
-            self.held = mmap.mmap(file.fileno(), 0)
-        # By agent: what each was told last, and what it has out; agents share nothing.
-        self.heard: dict[int, dict[int, float]] = defaultdict(dict)
-        self.out: dict[int, dict[int, int]] = defaultdict(lambda: defaultdict(int))
-
-    def _true(self, n: int) -> int:
-        return int.from_bytes(self.held[4 * n : 4 * n + 4], "little")
-
-    def _own(self, agent: int, n: int) -> float:
-        return self.heard[agent].get(n, 0.0) + self.out[agent][n]
-
-    def pick(self, agent: int, left: list[int]) -> int:
-        chance = self.chance
+        self.rng = Random(f"{config['seed']} {policy}")
+        self.pools = [ConnectionPool(tuple(address)) for address in config["backends"]]
+        with open(config["held"], "r+b") as file:
+            self.true_held = mmap.mmap(file.fileno(), 0)
+        # By agent and backend: the last reported load and the requests in flight. Agents share no state.
+        self.reported_load: dict[int, dict[int, float]] = defaultdict(dict)
+        self.outstanding: dict[int, dict[int, int]] = defaultdict(lambda: defaultdict(int))
+
+    def _true_queue(self, backend: int) -> int:
+        return int.from_bytes(self.true_held[4 * backend : 4 * backend + 4], "little")
+
+    def _estimated_load(self, agent: int, backend: int) -> float:
+        return self.reported_load[agent].get(backend, 0.0) + self.outstanding[agent][backend]
+
+    def pick(self, agent: int, candidates: list[int]) -> int:
+        rng = self.rng
         if self.policy == "random":
-            return chance.choice(left)
+            return rng.choice(candidates)
         if self.policy == "shortest-true":
-            return min(left, key=lambda n: (self._true(n), chance.random()))
-        pair = chance.sample(left, min(2, len(left)))
+            return min(candidates, key=lambda backend: (self._true_queue(backend), rng.random()))
+        choices = rng.sample(candidates, min(2, len(candidates)))
         if self.policy == "two-choices-true":
-            return min(pair, key=self._true)
-        return min(pair, key=lambda n: self._own(agent, n))
-
-    def __call__(self, agent: int, category: dict, message: bytes, by: int) -> tuple[int, bytes]:
-        left = list(range(len(self.pools)))
-        for _ in range(min(4, len(left))):
-            n = self.pick(agent, left)
-            self.out[agent][n] += 1
-            status, body, load = self.pools[n].ask(message, by)
-            self.out[agent][n] -= 1
-            told = parse_load_report(load)
-            if "outstanding" in told:
-                self.heard[agent][n] = told["outstanding"]
+            return min(choices, key=self._true_queue)
+        return min(choices, key=lambda backend: self._estimated_load(agent, backend))
+
+    def __call__(self, agent: int, category: dict, message: bytes, deadline: int) -> tuple[int, bytes]:
+        candidates = list(range(len(self.pools)))
+        for _ in range(min(4, len(candidates))):
+            backend = self.pick(agent, candidates)
+            self.outstanding[agent][backend] += 1
+            status, body, load = self.pools[backend].send(message, deadline)
+            self.outstanding[agent][backend] -= 1
+            report = parse_load_report(load)
+            if "outstanding" in report:
+                self.reported_load[agent][backend] = report["outstanding"]
             if status not in (503, -1):
                 return status, body
-            left.remove(n)
+            candidates.remove(backend)
         return 503, b""
 
 
-class Clients:
-    def __init__(self, told: dict, post: Post):
-        self.told, self.post = told, post
-        policy = told["policy"]
-        self.send = Through(told) if policy is None else Baseline(policy, told)
-        self.left = len(told["asks"])
-
-    def run(self, start: int) -> None:
-        """Sends each work item at its time from `start` on, and says when the last one is through."""
-        for at, agent, category, work, id in self.told["asks"]:
-            due = start + at
-            wait = (due - now()) / 10_000
-            if wait > 0:
-                gevent.sleep(wait)
-            gevent.spawn(self._one, due, agent, category, work, id)
-
-    def _one(self, due: int, agent: int, number: int, work: int, id: str) -> None:
-        category = self.told["categories"][number]
-        sent = now()
-        wait = category["expiry"]
-        message = request(category, id, work, wait // 10)
-        status, body = self.send(agent, category, message, sent + wait)
+class TrafficGenerator:
+    def __init__(self, config: dict, pipe: ControlPipe):
+        self.config, self.pipe = config, pipe
+        policy = config["policy"]
+        self.send = AgentSender(config) if policy is None else BaselinePolicy(policy, config)
+        self.remaining = len(config["asks"])
+
+    def run(self, start_at: int) -> None:
+        """Sends each request at its scheduled time, relative to `start_at`."""
+        for offset, agent, category, work, request_id in self.config["asks"]:
+            scheduled_at = start_at + offset
+            delay_s = (scheduled_at - now()) / 10_000
+            if delay_s > 0:
+                gevent.sleep(delay_s)
+            gevent.spawn(self._send_request, scheduled_at, agent, category, work, request_id)
+
+    def _send_request(
+        self, scheduled_at: int, agent: int, category_index: int, work: int, request_id: str
+    ) -> None:
+        category = self.config["categories"][category_index]
+        sent_at = now()
+        timeout = category["expiry"]
+        message = encode_request(category, request_id, work, timeout // 10)
+        status, body = self.send(agent, category, message, sent_at + timeout)
         backend = int(body) if status == 200 and body.isdigit() else -1
-        self.post.records.append((id, agent, number, due, sent, now(), status, backend))
-        self.left -= 1
-        if not self.left:
-            self.post.say(through=True)
+        self.pipe.records.append(
+            (request_id, agent, category_index, scheduled_at, sent_at, now(), status, backend)
+        )
+        self.remaining -= 1
+        if not self.remaining:
+            self.pipe.say(through=True)
 
 
 def main() -> None:
-    post = Post()
-    clients = Clients(post.told(), post)
-    post.say(ready=True)
-
-    def order(told: dict) -> None:
-        if told["do"] != "start":
-            raise ValueError(f"no order {told['do']!r}")
-        gevent.spawn(clients.run, told["at"])
-        if not clients.left:
-            post.say(through=True)
-
-    post.serve(order)
+    pipe = ControlPipe()
+    generator = TrafficGenerator(pipe.read_message(), pipe)
+    pipe.say(ready=True)
+
+    def order(command: dict) -> None:
+        if command["do"] != "start":
+            raise ValueError(f"unknown command {command['do']!r}")
+        gevent.spawn(generator.run, command["at"])
+        if not generator.remaining:
+            pipe.say(through=True)
+
+    pipe.serve(order)
--- a/src/nettledeal/fleet/configurations.py
+++ b/src/nettledeal/fleet/configurations.py
@@ -1,4 +1,4 @@
-"""What each process of a rig is told when it starts, worked out from the experiment and its script."""
+"""Derives the start-up configuration of each process of a rig from the experiment and its fault schedule."""
 
 from __future__ import annotations
 
@@ -7,141 +7,166 @@
 from random import Random
 from typing import Any
 
-from nettledeal.fleet.experiment import SECOND, Experiment
-from nettledeal.fleet.script import Script
-from nettledeal.fleet.site import BACKEND_PORT, DOOR_PORT, LIST_PORT, PORT, TALK_PORT, Site
-from nettledeal.fleet.traffic import Ask
+from nettledeal.fleet.experiment import TICKS_PER_SECOND, Experiment
+from nettledeal.fleet.fault_schedule import FaultSchedule
+from nettledeal.fleet.loopback_addresses import (
+    ADMIN_PORT,
+    AGENT_PORT,
+    BACKEND_PORT,
+    LIST_PORT,
+    MEMBERSHIP_PORT,
+    LoopbackAddresses,
+)
+from nettledeal.fleet.workload import ScheduledRequest
 
-GRACE_MS = 400
-SEEDS = 3  # agents that are called by those that join
+DRAIN_GRACE_MS = 400
+SEED_AGENTS = 3  # number of agents that joining agents contact
 
 
-class Configurations:
-    def __init__(self, experiment: Experiment, script: Script, site: Site, policy: str | None, folder: Path):
-        self.experiment, self.script, self.site, self.policy = experiment, script, site, policy
-        self.held = folder / "held"  # a file that stand-ins and baselines share
-        self.names = [f"b{n}" for n in range(experiment.backends.count)]
-        count, chance = experiment.backends.count, Random(f"{experiment.seed} cold")
-        self.cold = set(chance.sample(range(count), round(experiment.backends.cold * count)))
-        self.switched = any(act.verb.startswith("talk") for act in script.acts)
+class ProcessConfigurations:
+    def __init__(
+        self,
+        experiment: Experiment,
+        schedule: FaultSchedule,
+        addresses: LoopbackAddresses,
+        policy: str | None,
+        folder: Path,
+    ):
+        self.experiment, self.schedule, self.addresses, self.policy = experiment, schedule, addresses, policy
+        self.held_file = folder / "held"  # shared memory of backends and baseline policies
+        self.backend_names = [f"b{n}" for n in range(experiment.backends.count)]
+        count, rng = experiment.backends.count, Random(f"{experiment.seed} cold")
+        self.cold = set(rng.sample(range(count), round(experiment.backends.cold * count)))
+        self.uses_member_proxies = any(action.verb.startswith("talk") for action in schedule.actions)
 
     def speed(self, n: int) -> float:
         speeds = self.experiment.backends.speeds
         return speeds[n % len(speeds)]
 
-    def backends(self, p: int) -> dict[str, Any]:
-        """Of the process numbered `p` that plays stand-in backends."""
-        b = self.experiment.backends
+    def backends(self, index: int) -> dict[str, Any]:
+        """Configuration of backend process number `index`."""
+        backends = self.experiment.backends
         return {
-            "backends": [self._backend(n) for n in range(p, b.count, b.processes)],
-            "held": str(self.held),
+            "backends": [self._backend(n) for n in range(index, backends.count, backends.processes)],
+            "held": str(self.held_file),
         }
 
     def _backend(self, n: int) -> dict[str, Any]:
-        e, b = self.experiment, self.experiment.backends
+        experiment, backends = self.experiment, self.experiment.backends
         return {
             "number": n,
-            "place": [self.site.backend(n), BACKEND_PORT],
-            "seed": e.seed,
-            "cores": b.cores,
+            "place": [self.addresses.backend(n), BACKEND_PORT],
+            "seed": experiment.seed,
+            "cores": backends.cores,
             "speed": self.speed(n),
-            "queue": b.queue,
-            "places": b.places,
-            "push": b.push,
-            "report_every": max(1, round(b.report_every * SECOND)),
+            "queue": backends.queue,
+            "places": backends.places,
+            "push": backends.push,
+            "report_every": max(1, round(backends.report_every * TICKS_PER_SECOND)),
             "cold": n in self.cold,
-            "report_lag": round(b.report_lag * SECOND),
-            "cold_from": b.cold_from,
-            "warm_within": round(b.warm_within * SECOND),
-            "push_for": round(b.push_for * SECOND),
+            "report_lag": round(backends.report_lag * TICKS_PER_SECOND),
+            "cold_from": backends.cold_from,
+            "warm_within": round(backends.warm_within * TICKS_PER_SECOND),
+            "push_for": round(backends.push_for * TICKS_PER_SECOND),
         }
 
     def roster(self) -> dict[str, Any]:
-        """Of the process that plays the list of backends."""
-        e = self.experiment
-        agents = range(e.agents.count if self.policy is None else 0)
+        """Configuration of the list service process."""
+        experiment = self.experiment
+        agents = range(experiment.agents.count if self.policy is None else 0)
         return {
-            "lag": e.list.lag,
-            "seed": f"{e.seed} list",
-            "entries": [self.entry(n) for n in range(e.backends.count)],
-            "agents": [[n, [self.site.agent(n), LIST_PORT], self.script.ways[n]] for n in agents],
+            "lag": experiment.list.lag,
+            "seed": f"{experiment.seed} list",
+            "entries": [self.entry(n) for n in range(experiment.backends.count)],
+            "agents": [
+                [n, [self.addresses.agent(n), LIST_PORT], self.schedule.link_groups[n]] for n in agents
+            ],
         }
 
-    def clients(self, p: int, asks: list[Ask]) -> dict[str, Any]:
-        """Of the process numbered `p` that plays clients, or a baseline in their place."""
-        e = self.experiment
+    def clients(self, index: int, requests: list[ScheduledRequest]) -> dict[str, Any]:
+        """Configuration of client process number `index`, which also runs the baseline policy, if any."""
+        experiment = self.experiment
         return {
             "policy": self.policy,
-            "seed": f"{e.seed} {p}",
-            "held": str(self.held),
+            "seed": f"{experiment.seed} {index}",
+            "held": str(self.held_file),
             "asks": [
-                [ask.at, ask.agent, ask.category, ask.work, ask.id]
-                for ask in asks
-                if ask.agent % e.clients.processes == p
+                [request.at, request.agent, request.category, request.work, request.id]
+                for request in requests
+                if request.agent % experiment.clients.processes == index
             ],
             "agents": {
-                str(n): [self.site.agent(n), PORT]
-                for n in range(e.agents.count)
-                if n % e.clients.processes == p
+                str(n): [self.addresses.agent(n), AGENT_PORT]
+                for n in range(experiment.agents.count)
+                if n % experiment.clients.processes == index
             },
-            "backends": [[self.site.backend(n), BACKEND_PORT] for n in range(e.backends.count)],
+            "backends": [[self.addresses.backend(n), BACKEND_PORT] for n in range(experiment.backends.count)],
             "categories": [
-                {"name": c.name, "effect": c.effect, "expiry": round(c.expiry_ms * 10)} for c in e.category
+                {"name": category.name, "effect": category.effect, "expiry": round(category.expiry_ms * 10)}
+                for category in experiment.category
             ],
         }
 
-    def fronts(self) -> list[list]:
-        """Of the switch: by way and backend, where it is reached and where it is."""
+    def link_proxies(self) -> list[list]:
+        """For the switch: link group, backend, address of the proxy and address of the backend."""
         return [
-            [way, n, [self.site.backend(n), BACKEND_PORT + way], [self.site.backend(n), BACKEND_PORT]]
-            for way in sorted(set(self.script.ways) - {0})
+            [
+                group,
+                n,
+                [self.addresses.backend(n), BACKEND_PORT + group],
+                [self.addresses.backend(n), BACKEND_PORT],
+            ]
+            for group in sorted(set(self.schedule.link_groups) - {0})
             for n in range(self.experiment.backends.count)
         ]
 
-    def members(self) -> list[list]:
-        """Of the switch: by agent, where others reach what it listens at for them, and where it does."""
+    def member_proxies(self) -> list[list]:
+        """For the switch: agent, address of its membership proxy and address of its membership listener."""
         return [
-            [n, [self.site.front(n), TALK_PORT], [self.site.agent(n), TALK_PORT]]
-            for n in range(self.experiment.agents.count if self.switched else 0)
+            [n, [self.addresses.member_proxy(n), MEMBERSHIP_PORT], [self.addresses.agent(n), MEMBERSHIP_PORT]]
+            for n in range(self.experiment.agents.count if self.uses_member_proxies else 0)
         ]
 
-    def entry(self, n: int, lifecycle: str = "ready", started: int | None = None) -> dict:
-        if started is None:
-            started = int(time.time() * 1000) if n in self.cold else 0
+    def entry(self, n: int, lifecycle: str = "ready", started_at_ms: int | None = None) -> dict:
+        if started_at_ms is None:
+            started_at_ms = int(time.time() * 1000) if n in self.cold else 0
         return {
-            "id": self.names[n],
-            "place": [self.site.backend(n), BACKEND_PORT],
+            "id": self.backend_names[n],
+            "place": [self.addresses.backend(n), BACKEND_PORT],
             "lifecycle": lifecycle,
-            "zone": f"z{self.script.zones['backends'][n]}",
-            "started": started,
+            "zone": f"z{self.schedule.zones['backends'][n]}",
+            "started": started_at_ms,
             "kind": f"k{n % len(self.experiment.backends.speeds)}",
         }
 
-    def agent(self, n: int, starts: int) -> dict[str, Any]:
-        """An agent's configuration, as an operator would write it."""
-        e, a, b = self.experiment, self.experiment.agents, self.experiment.backends
-        millisecond, zones = 1_000_000, range(len(b.zones))
-        seed = Random(f"{e.seed} agent {n} {starts}").getrandbits(64)
-        reached = self.site.front if self.switched else self.site.agent
-        together = {
-            "listen": f"{self.site.agent(n)}:{TALK_PORT}",
-            "advertise": f"{reached(n)}:{TALK_PORT}",
-            "seeds": [f"{reached(seed)}:{TALK_PORT}" for seed in range(min(SEEDS, a.count))],
+    def agent(self, n: int, start_count: int) -> dict[str, Any]:
+        """Configuration file of an agent, as an operator would write it."""
+        experiment, agents, backends = self.experiment, self.experiment.agents, self.experiment.backends
+        millisecond, zones = 1_000_000, range(len(backends.zones))
+        seed = Random(f"{experiment.seed} agent {n} {start_count}").getrandbits(64)
+        reachable_address = self.addresses.member_proxy if self.uses_member_proxies else self.addresses.agent
+        membership = {
+            "listen": f"{self.addresses.agent(n)}:{MEMBERSHIP_PORT}",
+            "advertise": f"{reachable_address(n)}:{MEMBERSHIP_PORT}",
+            "seeds": [
+                f"{reachable_address(seed)}:{MEMBERSHIP_PORT}"
+                for seed in range(min(SEED_AGENTS, agents.count))
+            ],
         }
-        return ({"membership": together} if a.together else {}) | {
+        return ({"membership": membership} if agents.together else {}) | {
             "name": f"a{n}",
-            "listen": f"{self.site.agent(n)}:{PORT}",
+            "listen": f"{self.addresses.agent(n)}:{AGENT_PORT}",
             "seed": f"{seed:x}",
-            "discovery": f"{self.site.agent(n)}:{LIST_PORT}",
+            "discovery": f"{self.addresses.agent(n)}:{LIST_PORT}",
             "log_level": "info",
-            "admin_addr": f"{self.site.agent(n)}:{DOOR_PORT}",
-            "limits": {"memory_mb": a.memory_mb, "sockets": a.sockets},
+            "admin_addr": f"{self.addresses.agent(n)}:{ADMIN_PORT}",
+            "limits": {"memory_mb": agents.memory_mb, "sockets": agents.sockets},
             "settings": {
-                "balancers": a.count,
+                "balancers": agents.count,
                 "me": n,
-                "zone": self.script.zones["agents"][n],
-                "zones": [f"z{z}" for z in zones],
-                "kinds": [f"k{k}" for k in range(len(b.speeds))],
+                "zone": self.schedule.zones["agents"][n],
+                "zones": [f"z{zone}" for zone in zones],
+                "kinds": [f"k{machine_type}" for machine_type in range(len(backends.speeds))],
                 "resolution": millisecond,
                 "discovery": "pushed",
                 "payoff_by": "request",
@@ -154,26 +179,30 @@
                     "max_retry_after": 2000 * millisecond,
                     "may_duplicate": False,
                     "most_hand_offs": 4,
-                    "probes": a.probes,
+                    "probes": agents.probes,
                     "retry_after": True,
                 },
                 "rules": {
-                    "cold_from": b.cold_from,
-                    "drain_grace": GRACE_MS * millisecond,
-                    "overload_factor": b.push,
-                    "tip_after": round(b.push_for * 1000) * millisecond,
-                    "warm_within": round(b.warm_within * 1000) * millisecond,
+                    "cold_from": backends.cold_from,
+                    "drain_grace": DRAIN_GRACE_MS * millisecond,
+                    "overload_factor": backends.push,
+                    "tip_after": round(backends.push_for * 1000) * millisecond,
+                    "warm_within": round(backends.warm_within * 1000) * millisecond,
+                },
+                "tariffs": {
+                    "connection": agents.connection_price,
+                    "cross_zone": 0.005,
+                    "probe": agents.probe_price,
                 },
-                "tariffs": {"connection": a.connection_price, "cross_zone": 0.005, "probe": a.probe_price},
                 "categories": [
                     {
-                        "name": c.name,
-                        "effect": c.effect,
-                        "due_time": round(c.due_ms * millisecond),
-                        "expiry": round(c.expiry_ms * millisecond),
-                        "payoff": c.payoff,
+                        "name": category.name,
+                        "effect": category.effect,
+                        "due_time": round(category.due_ms * millisecond),
+                        "expiry": round(category.expiry_ms * millisecond),
+                        "payoff": category.payoff,
                     }
-                    for c in e.category
+                    for category in experiment.category
                 ],
             },
         }
--- a/src/nettledeal/fleet/experiment.py
+++ b/src/nettledeal/fleet/experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment asks for: read from TOML, every key checked before anything starts."""
+"""Experiment files: TOML that is decoded and validated completely before any process is started."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 from nettledeal.configuration_files import ConfigError, decoded
 
-SECOND = 10_000  # in tenths of a millisecond
+TICKS_PER_SECOND = 10_000  # a tick of Time is a tenth of a millisecond
 BASELINES = ("random", "two-choices", "two-choices-true", "shortest-true")
-# What each kind of fault goes to, and which of its own figures it must have.
-KINDS = {
+# For each kind of fault: the processes it applies to, and the keys it requires.
+FAULT_KINDS = {
     "pause": ("agents", ()),
     "kill": ("agents", ()),
     "restart": ("agents", ()),
@@ -32,87 +32,87 @@
     "link": ("agents", ()),
     "talk": ("agents", ()),
 }
-# The least that an agent, and anything beside it, takes: megabytes, measured on loopback.
-AGENT_MB, OTHER_MB = 26, 60
+# Minimum memory of an agent and of any other process of the rig, measured on loopback.
+AGENT_MEMORY_MB, OTHER_PROCESS_MEMORY_MB = 26, 60
 
 
-class _Exact(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class _StrictStruct(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     pass
 
 
-class Agents(_Exact):
+class Agents(_StrictStruct):
     count: int
     memory_mb: int = 192
     sockets: int = 512
-    start_within: float = 0.0  # seconds over which they are started; 0 as fast as the machine can
+    start_within: float = 0.0  # seconds over which the starts are spread; 0 means as fast as possible
     probes: bool = True
-    probe_price: float = 0.002  # of the result, as the settings tell agents
+    probe_price: float = 0.002  # fraction of a payoff, passed to agents in their settings
     connection_price: float = 0.0
-    together: bool = False  # they talk with each other: membership
+    together: bool = False  # whether agents run the membership protocol
 
 
-class Backends(_Exact):
+class Backends(_StrictStruct):
     count: int
     cores: int = 1
-    speeds: tuple[float, ...] = (1.0,)  # of the kinds, dealt out in turn
-    zones: tuple[float, ...] = (1.0, 1.0)  # how many of them stand where
-    queue: int = 60  # work items held; more are turned away as full
-    places: int = 4000  # connections; more are turned away
-    report_every: float = 0.002  # seconds between two looks of a report at its backend
+    speeds: tuple[float, ...] = (1.0,)  # one per machine type; types are assigned round-robin
+    zones: tuple[float, ...] = (1.0, 1.0)  # relative number of backends in each zone
+    queue: int = 60  # maximum of queued and running requests; further ones are rejected as full
+    places: int = 4000  # maximum of connections; further ones are rejected
+    report_every: float = 0.002  # seconds between updates of the load that reports show
     report_lag: float = 0.0
-    cold: float = 0.0  # of them start cold when traffic begins
+    cold: float = 0.0  # fraction of backends that start cold when traffic begins
     cold_from: float = 0.3
     warm_within: float = 8.0
-    push: float = 3.0  # times what a cold one can do that topple it
+    push: float = 3.0  # multiple of its current capacity at which a cold backend crashes
     push_for: float = 3.0
     processes: int = 4
 
 
-class Roster(_Exact):
-    lag: float = 0.2  # seconds, at most, until an agent is told of a change
+class Roster(_StrictStruct):
+    lag: float = 0.2  # maximum seconds until an agent is notified of a change
 
 
-class Clients(_Exact):
-    rate: float  # work items a second, of all
-    zones: tuple[float, ...] = (1.0, 1.0)  # how agents, and with them traffic, are spread
-    busy: float = 0.0  # of the agents that have more traffic
+class Clients(_StrictStruct):
+    rate: float  # requests per second, all clients together
+    zones: tuple[float, ...] = (1.0, 1.0)  # relative number of agents, and so of traffic, in each zone
+    busy: float = 0.0  # fraction of agents with a higher request rate
     busy_times: float = 10.0
     processes: int = 2
 
 
-class Category(_Exact):
+class Category(_StrictStruct):
     name: str
     effect: str = "safe"
     share: float = 1.0
-    work_ms: float = 80.0  # mean of an exponential one, on a core of speed 1
+    work_ms: float = 80.0  # mean of an exponential distribution, on a core of speed 1
     due_ms: float = 1000.0
     expiry_ms: float = 2000.0
     payoff: float = 1.0
 
 
-class Trouble(_Exact):
+class Trouble(_StrictStruct):
     kind: str
     at: float
     until: float | None = None
-    share: float | None = None  # of the agents or backends, or
-    count: int | None = None  # so many of them, or
-    zone: int | None = None  # those that stand there; all without any of the three
+    share: float | None = None  # fraction of the agents or backends,
+    count: int | None = None  # or their number,
+    zone: int | None = None  # or all of one zone; without any of the three, all
     times: float | None = None
     chance: float | None = None
     by: float | None = None  # seconds
-    # Of links and of talk only: which ends, which direction, and what happens there.
-    to: float = 1.0  # share of the backends at the other end; of talk it is all other agents
-    way: str = "both"  # "there" from these agents, "back", or both
+    # For `link` and `talk` only: the peers, the direction and the condition of the links.
+    to: float = 1.0  # fraction of backends at the other end; for `talk` it is all other agents
+    way: str = "both"  # "there" (sent by these agents), "back", or both
     cut: bool = False
-    silent: bool = False  # new connections come up, and then nothing passes
+    silent: bool = False  # connections are established, but no data passes
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    loss: float = 0.0  # of datagrams, as the rest of the line
+    loss: float = 0.0  # this and the following: fraction of datagrams
     repeats: float = 0.0
     reordering: float = 0.0
 
 
-class Experiment(_Exact):
+class Experiment(_StrictStruct):
     about: str
     seconds: float
     agents: Agents
@@ -120,86 +120,101 @@
     clients: Clients
     category: tuple[Category, ...]
     seed: int = 1
-    settle: float = 3.0  # seconds of traffic before anything is counted
+    settle: float = 3.0  # seconds of traffic before measurement starts
     list: Roster = Roster()
     fault: tuple[Trouble, ...] = ()
     policies: tuple[str, ...] = ("agents",)
-    idle_after: float = 0.0  # seconds without work after which a backend counts as idle; 0 by its rate
+    # Seconds without requests after which a backend counts as idle; 0: derived from its request rate.
+    idle_after: float = 0.0
 
 
-class Asked(msgspec.Struct, frozen=True):
-    """An experiment with what the command line adds: trees of other versions by name."""
+class ExperimentPlan(msgspec.Struct, frozen=True):
+    """An experiment, and the source trees of other versions to compare with, by name."""
 
     experiment: Experiment
     trees: dict[str, Path]
 
 
-def read(
+def load_experiment(
     file: Path,
     *,
     agents: int | None = None,
     seed: int | None = None,
     policies: str | None = None,
     beside: Sequence[str] = (),
-) -> Asked:
-    """Raises ConfigError with the key at fault on one line."""
+) -> ExperimentPlan:
+    """Reads an experiment file. Raises ConfigError with one line that starts with the invalid key."""
     try:
         raw = file.read_bytes()
-    except OSError as fault:
-        raise ConfigError(f"cannot be read: {fault.strerror}") from None
-    found = decoded(raw, Experiment, "TOML")
+    except OSError as error:
+        raise ConfigError(f"can't be read: {error.strerror}") from None
+    experiment = decoded(raw, Experiment, "TOML")
     if agents is not None:
-        found = msgspec.structs.replace(found, agents=msgspec.structs.replace(found.agents, count=agents))
+        experiment = msgspec.structs.replace(
+            experiment, agents=msgspec.structs.replace(experiment.agents, count=agents)
+        )
     if seed is not None:
-        found = msgspec.structs.replace(found, seed=seed)
+        experiment = msgspec.structs.replace(experiment, seed=seed)
     if policies is not None:
-        found = msgspec.structs.replace(found, policies=tuple(part for part in policies.split(",") if part))
+        experiment = msgspec.structs.replace(
+            experiment, policies=tuple(policy for policy in policies.split(",") if policy)
+        )
     trees = {}
-    for pair in beside:
-        name, equals, place = pair.partition("=")
-        if not equals or not (Path(place) / "nettledeal" / "__main__.py").is_file():
-            raise ConfigError(f"--beside: {pair!r} names no tree with nettledeal in it, as NAME=TREE")
-        trees[name] = Path(place).resolve()
-    check(found, tuple(trees))
-    return Asked(found, trees)
-
-
-def check(found: Experiment, trees: Sequence[str] = ()) -> None:
-    """Raises ConfigError naming the first key whose value makes no sense, alone or beside the others."""
-    _numbers(found)
-    for n, policy in enumerate(found.policies):
+    for assignment in beside:
+        name, equals, source_tree = assignment.partition("=")
+        if not equals or not (Path(source_tree) / "nettledeal" / "__main__.py").is_file():
+            raise ConfigError(
+                f"--beside: {assignment!r} must be NAME=TREE, where TREE is a source tree of nettledeal"
+            )
+        trees[name] = Path(source_tree).resolve()
+    validate(experiment, tuple(trees))
+    return ExperimentPlan(experiment, trees)
+
+
+def validate(experiment: Experiment, trees: Sequence[str] = ()) -> None:
+    """Raises ConfigError for the first key whose value is invalid by itself or in combination with others."""
+    _check_ranges(experiment)
+    for index, policy in enumerate(experiment.policies):
         if policy != "agents" and policy not in BASELINES and policy not in trees:
             known = ", ".join(BASELINES)
-            raise ConfigError(f"policies.{n}: {policy!r} is none of agents, {known} nor set beside")
-    if not found.policies and not trees:
-        raise ConfigError("policies: none is named")
-    if not found.category:
-        raise ConfigError("category: none is named")
-    names = [category.name for category in found.category]
-    for n, category in enumerate(found.category):
+            raise ConfigError(
+                f"policies.{index}: {policy!r} must be agents, {known} or a name given with --beside"
+            )
+    if not experiment.policies and not trees:
+        raise ConfigError("policies: must name at least one")
+    if not experiment.category:
+        raise ConfigError("category: at least one is required")
+    names = [category.name for category in experiment.category]
+    for index, category in enumerate(experiment.category):
         if category.effect not in ("safe", "unsafe"):
-            raise ConfigError(f"category.{n}.effect: {category.effect!r} is none of safe, unsafe")
-        if names.index(category.name) != n:
-            raise ConfigError(f"category.{n}.name: {category.name!r} is named twice")
+            raise ConfigError(f"category.{index}.effect: {category.effect!r} must be safe or unsafe")
+        if names.index(category.name) != index:
+            raise ConfigError(f"category.{index}.name: {category.name!r} is used twice")
         if category.due_ms > category.expiry_ms:
-            raise ConfigError(f"category.{n}.due_ms: {category.due_ms:g} is after its expiry")
-    if len(found.clients.zones) != len(found.backends.zones):
-        there = len(found.backends.zones)
-        raise ConfigError(f"clients.zones: {len(found.clients.zones)} of them, and backends stand in {there}")
-    if found.settle >= found.seconds:
-        raise ConfigError(f"settle: {found.settle:g} s leave nothing to count of {found.seconds:g}")
-    before = 0.0
-    for n, fault in enumerate(found.fault):
-        _fault(found, n, fault)
-        if fault.at < before:
-            raise ConfigError(f"fault.{n}.at: {fault.at:g} is before the one ahead of it, at {before:g}")
-        before = fault.at
-    _fits(found)
-
-
-def _numbers(found: msgspec.Struct, path: str = "") -> None:
-    """Nothing counts backwards, and what must be there is more than nothing."""
-    above = {
+            raise ConfigError(f"category.{index}.due_ms: {category.due_ms:g} is later than expiry_ms")
+    if len(experiment.clients.zones) != len(experiment.backends.zones):
+        zone_count = len(experiment.backends.zones)
+        raise ConfigError(
+            f"clients.zones: {len(experiment.clients.zones)} zones, but backends have {zone_count}"
+        )
+    if experiment.settle >= experiment.seconds:
+        raise ConfigError(
+            f"settle: {experiment.settle:g} s must be less than seconds, {experiment.seconds:g}"
+        )
+    previous_at = 0.0
+    for index, fault in enumerate(experiment.fault):
+        _check_fault(experiment, index, fault)
+        if fault.at < previous_at:
+            raise ConfigError(
+                f"fault.{index}.at: {fault.at:g} must not be before the previous fault, at {previous_at:g}"
+            )
+        previous_at = fault.at
+    _check_resources(experiment)
+
+
+def _check_ranges(section: msgspec.Struct, path: str = "") -> None:
+    """Checks the range of every number: none is negative, some are positive and some are at most 1."""
+    positive_fields = {
         "count",
         "cores",
         "seconds",
@@ -218,66 +233,85 @@
         "push_for",
         "cold_from",
     }
-    shares = {"cold", "cold_from", "busy", "share", "chance", "to", "loss", "repeats", "reordering"}
-    for name in found.__struct_fields__:
-        value, where = getattr(found, name), f"{path}{name}"
-        for n, part in enumerate(value) if isinstance(value, tuple) else ((None, value),):
-            at = where if n is None else f"{where}.{n}"
-            if isinstance(part, msgspec.Struct):
-                _numbers(part, f"{at}.")
-            elif isinstance(part, int | float) and not isinstance(part, bool):
-                most = 1 if name in shares and not (name == "share" and path.startswith("category")) else inf
-                if not isfinite(part) or part < 0 or part > most or (name in above and part == 0):
+    fraction_fields = {"cold", "cold_from", "busy", "share", "chance", "to", "loss", "repeats", "reordering"}
+    for name in section.__struct_fields__:
+        value, field_path = getattr(section, name), f"{path}{name}"
+        for index, item in enumerate(value) if isinstance(value, tuple) else ((None, value),):
+            value_path = field_path if index is None else f"{field_path}.{index}"
+            if isinstance(item, msgspec.Struct):
+                _check_ranges(item, f"{value_path}.")
+            elif isinstance(item, int | float) and not isinstance(item, bool):
+                maximum = (
+                    1
+                    if name in fraction_fields and not (name == "share" and path.startswith("category"))
+                    else inf
+                )
+                if (
+                    not isfinite(item)
+                    or item < 0
+                    or item > maximum
+                    or (name in positive_fields and item == 0)
+                ):
                     raise ConfigError(
-                        f"{at}: {part!r} is no number {'above' if name in above else 'from'} 0"
-                        + (" to 1" if most == 1 else "")
+                        f"{value_path}: {item!r} isn't {'above' if name in positive_fields else 'at least'} 0"
+                        + (" and at most 1" if maximum == 1 else "")
                     )
 
 
-def _fault(found: Experiment, n: int, fault: Trouble) -> None:
-    if fault.kind not in KINDS:
-        raise ConfigError(f"fault.{n}.kind: {fault.kind!r} is none of {', '.join(KINDS)}")
-    target, needed = KINDS[fault.kind]
-    for key in needed:
+def _check_fault(experiment: Experiment, index: int, fault: Trouble) -> None:
+    if fault.kind not in FAULT_KINDS:
+        raise ConfigError(f"fault.{index}.kind: {fault.kind!r} must be one of {', '.join(FAULT_KINDS)}")
+    target, required_keys = FAULT_KINDS[fault.kind]
+    for key in required_keys:
         if getattr(fault, key) is None:
-            raise ConfigError(f"fault.{n}.{key}: missing, and {fault.kind} goes by it")
+            raise ConfigError(f"fault.{index}.{key}: required for {fault.kind}")
     if fault.until is not None and fault.until <= fault.at:
-        raise ConfigError(f"fault.{n}.until: {fault.until:g} is not after {fault.at:g}")
-    if fault.at > found.seconds:
-        raise ConfigError(f"fault.{n}.at: {fault.at:g} is after the end, {found.seconds:g}")
+        raise ConfigError(f"fault.{index}.until: {fault.until:g} must be later than at, {fault.at:g}")
+    if fault.at > experiment.seconds:
+        raise ConfigError(
+            f"fault.{index}.at: {fault.at:g} is after the end of the experiment, {experiment.seconds:g}"
+        )
     if sum(value is not None for value in (fault.share, fault.count, fault.zone)) > 1:
-        raise ConfigError(f"fault.{n}: share, count and zone tell apart; one of them at most")
-    there = getattr(found, target).count
-    if fault.count is not None and fault.count > there:
-        raise ConfigError(f"fault.{n}.count: {fault.count} of {there} {target}")
-    if fault.zone is not None and fault.zone >= len(found.backends.zones):
-        raise ConfigError(f"fault.{n}.zone: {fault.zone} of {len(found.backends.zones)} zones")
-    if fault.kind == "talk" and not found.agents.together:
-        raise ConfigError(f"fault.{n}.kind: agents that do not talk (agents.together) have no talk to break")
+        raise ConfigError(f"fault.{index}: at most one of share, count and zone may be set")
+    target_count = getattr(experiment, target).count
+    if fault.count is not None and fault.count > target_count:
+        raise ConfigError(f"fault.{index}.count: {fault.count}, but there are {target_count} {target}")
+    if fault.zone is not None and fault.zone >= len(experiment.backends.zones):
+        raise ConfigError(
+            f"fault.{index}.zone: {fault.zone}, but there are {len(experiment.backends.zones)} zones"
+        )
+    if fault.kind == "talk" and not experiment.agents.together:
+        raise ConfigError(f"fault.{index}.kind: talk requires agents.together")
     if fault.kind in ("link", "talk") and fault.way not in ("there", "back", "both"):
-        raise ConfigError(f"fault.{n}.way: {fault.way!r} is none of there, back, both")
-
-
-def _fits(found: Experiment) -> None:
-    """More processes than memory or descriptors allow are refused before the first one starts."""
-    others = found.backends.processes + found.clients.processes + 3
-    needed = found.agents.count * AGENT_MB + others * OTHER_MB
-    have = _available()
-    if needed > have:
-        raise ConfigError(f"agents.count: {found.agents.count} take about {needed} MB, and {have} are free")
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    each = found.agents.count * -(-found.backends.count // found.backends.processes)
-    if each + 100 > most:
+        raise ConfigError(f"fault.{index}.way: {fault.way!r} must be there, back or both")
+
+
+def _check_resources(experiment: Experiment) -> None:
+    """Rejects an experiment that needs more memory, descriptors or processes than the machine allows."""
+    other_processes = experiment.backends.processes + experiment.clients.processes + 3
+    required_mb = experiment.agents.count * AGENT_MEMORY_MB + other_processes * OTHER_PROCESS_MEMORY_MB
+    available_mb = _available_memory_mb()
+    if required_mb > available_mb:
+        raise ConfigError(
+            f"agents.count: {experiment.agents.count} need about {required_mb} MB, {available_mb} available"
+        )
+    max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    connections_each = experiment.agents.count * -(
+        -experiment.backends.count // experiment.backends.processes
+    )
+    if connections_each + 100 > max_descriptors:
+        raise ConfigError(
+            f"backends.processes: up to {connections_each} connections each, {max_descriptors} allowed"
+        )
+    max_processes = resource.getrlimit(resource.RLIMIT_NPROC)[1]
+    if max_processes != resource.RLIM_INFINITY and experiment.agents.count + other_processes > max_processes:
         raise ConfigError(
-            f"backends.processes: {each} connections may come to one, {most} descriptors are allowed"
+            f"agents.count: {experiment.agents.count + other_processes} processes, {max_processes} allowed"
         )
-    tasks = resource.getrlimit(resource.RLIMIT_NPROC)[1]
-    if tasks != resource.RLIM_INFINITY and found.agents.count + others > tasks:
-        raise ConfigError(f"agents.count: {found.agents.count + others} processes, {tasks} are allowed")
 
 
-def _available() -> int:
-    """Megabytes of memory free for use."""
+def _available_memory_mb() -> int:
+    """Available memory in megabytes."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemAvailable:"):
             return int(line.split()[1]) // 1024
--- a/src/nettledeal/fleet/http.py
+++ b/src/nettledeal/fleet/http.py
@@ -1,4 +1,4 @@
-"""As much of HTTP as the stand-ins speak, on connections that are kept: httptools reads, these remember."""
+"""Minimal HTTP/1.1 for clients, backends and the list service, on persistent connections; uses httptools."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from gevent import socket
 
 
-class Heard:
-    """One message of the other side."""
+class HttpMessage:
+    """A received message; its methods are the callbacks of the httptools parser."""
 
     def __init__(self) -> None:
         self.url = b""
         self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.whole = False
+        self.complete = False
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -27,39 +27,39 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
 
-def requests(sock: socket.socket) -> Iterator[Heard]:
-    """What comes on a connection until its end; a break is an end."""
+def read_requests(sock: socket.socket) -> Iterator[HttpMessage]:
+    """Yields requests until the connection is closed or fails."""
     while True:
-        heard = Heard()
-        parser = httptools.HttpRequestParser(heard)
+        message = HttpMessage()
+        parser = httptools.HttpRequestParser(message)
         try:
-            while not heard.whole:
+            while not message.complete:
                 data = sock.recv(65536)
                 if not data:
                     return
                 parser.feed_data(data)
         except (OSError, httptools.HttpParserError, httptools.HttpParserUpgrade):
             return
-        yield heard
+        yield message
 
 
-def answer(sock: socket.socket) -> tuple[int, Heard] | None:
-    """The next answer whole, or None where the connection ends before that."""
-    heard = Heard()
-    parser = httptools.HttpResponseParser(heard)
+def read_response(sock: socket.socket) -> tuple[int, HttpMessage] | None:
+    """Returns status and message of the next complete response, or None if the connection ends before it."""
+    message = HttpMessage()
+    parser = httptools.HttpResponseParser(message)
     try:
-        while not heard.whole:
+        while not message.complete:
             data = sock.recv(65536)
             if not data:
                 return None
             parser.feed_data(data)
     except (OSError, httptools.HttpParserError, httptools.HttpParserUpgrade):
         return None
-    return parser.get_status_code(), heard
+    return parser.get_status_code(), message
 
 
-def written(status: str, body: bytes = b"", more: str = "") -> bytes:
-    return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode() + body
+def encode_response(status: str, body: bytes = b"", extra_headers: str = "") -> bytes:
+    return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra_headers}\r\n".encode() + body
--- a/src/nettledeal/fleet/links.py
+++ b/src/nettledeal/fleet/links.py
@@ -1,7 +1,7 @@
-"""What happens to what is sent on a link: pure and seeded; each direction has a `Condition` of its own.
+"""Simulated link conditions, deterministic for a seed; each direction of a link has its own `LinkCondition`.
 
-A stream of TCP loses nothing while it lives: it is late, or what was sent waits until the link is whole
-again, as the kernel would send it again. Datagrams are lost, repeated and overtaken.
+TCP streams lose no data while the connection lives: data is delayed, or waits until the link works again, as
+the kernel would retransmit it. Datagrams can be lost, duplicated and reordered.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
-    """Times in tenths of a millisecond, the others as parts of one."""
+class LinkCondition:
+    """Times are in tenths of a millisecond, the other numbers are probabilities."""
 
     cut: bool = False
     silent: bool = False
@@ -25,35 +25,35 @@
     reordering: float = 0.0
 
     @property
-    def stopped(self) -> bool:
+    def blocked(self) -> bool:
         return self.cut or self.silent
 
 
-class Way:
+class LinkDirection:
     """One direction of one link."""
 
-    def __init__(self, chance: Random):
-        self.chance = chance
-        self.condition = Condition()
-        self.last: Time = 0
+    def __init__(self, rng: Random):
+        self.rng = rng
+        self.condition = LinkCondition()
+        self.last_arrival: Time = 0
 
-    def _late(self, now: Time) -> Time:
+    def _arrival_time(self, now: Time) -> Time:
         jitter = self.condition.jitter
-        return now + self.condition.delay + (round(self.chance.random() * jitter) if jitter else 0)
+        return now + self.condition.delay + (round(self.rng.random() * jitter) if jitter else 0)
 
-    def stream(self, now: Time) -> Time | None:
-        """When the next bytes of a stream arrive, never ahead of those before; None while nothing passes."""
-        if self.condition.stopped:
+    def stream_arrival(self, now: Time) -> Time | None:
+        """Arrival time of the next bytes of a stream, never before earlier bytes; None while blocked."""
+        if self.condition.blocked:
             return None
-        self.last = max(self.last, self._late(now))
-        return self.last
+        self.last_arrival = max(self.last_arrival, self._arrival_time(now))
+        return self.last_arrival
 
-    def datagram(self, now: Time) -> list[Time]:
-        """When it arrives, and again where it is repeated; nowhere where it is lost."""
-        c = self.condition
-        if c.stopped or self.chance.random() < c.loss:
+    def datagram_arrivals(self, now: Time) -> list[Time]:
+        """Arrival times of a datagram: none if it is lost, two if it is duplicated."""
+        condition = self.condition
+        if condition.blocked or self.rng.random() < condition.loss:
             return []
-        at = self._late(now)
-        if self.chance.random() < c.reordering:
-            at += max(10, c.jitter)  # behind what is sent in the next moment
-        return [at, at + 1 + c.jitter] if self.chance.random() < c.repeats else [at]
+        at = self._arrival_time(now)
+        if self.rng.random() < condition.reordering:
+            at += max(10, condition.jitter)  # arrives after datagrams that are sent just after it
+        return [at, at + 1 + condition.jitter] if self.rng.random() < condition.repeats else [at]
--- a/src/nettledeal/fleet/membership_trial.py
+++ b/src/nettledeal/fleet/membership_trial.py
@@ -1,7 +1,8 @@
-"""Figures of membership with real processes: what it costs, whom it wrongs and how soon it knows.
+"""Measures membership with real processes: resource use, false suspicions and failure detection times.
 
-One run: all join, a calm stretch is counted, then members lose what they send and a third after another is
-stopped for some seconds, then some die one after another. Loopback, one machine.
+A run has three phases on the loopback interface of one machine. After all members have joined, resource use
+is measured without faults. Then members drop some of the datagrams they send, and thirds of them are paused
+in turn. Finally, some members are killed one after another.
 """
 
 from __future__ import annotations
@@ -12,18 +13,21 @@
 
 import gevent
 
+from nettledeal.fleet.child_processes import RunAborted
+from nettledeal.fleet.child_runtime import now
 from nettledeal.fleet.member_processes import MemberProcesses
-from nettledeal.fleet.processes import Broken
-from nettledeal.fleet.wires import now
 from nettledeal.model import Time
 
-CALM = 20.0
-SECOND = 10_000
+CALM_S = 20.0
+TICKS_PER_SECOND = 10_000
 
 
-def agreed(members: MemberProcesses, up: list[int]) -> bool:
-    said = [members.processes[n].ask("digest") for n in up]
-    return all(one["live"] == len(up) for one in said) and len({one["digest"] for one in said}) == 1
+def all_agree(members: MemberProcesses, up: list[int]) -> bool:
+    reports = [members.processes[n].ask("digest") for n in up]
+    return (
+        all(report["live"] == len(up) for report in reports)
+        and len({report["digest"] for report in reports}) == 1
+    )
 
 
 def measure(
@@ -36,38 +40,38 @@
     progress: Callable[[str], None],
     timing: dict[str, int] | None = None,
 ) -> dict[str, Any]:
-    """Raises Broken where members do not come to one view. Times of the result are seconds."""
-    found: dict[str, Any] = {"members": count, "loss": loss, "pause_s": pause, "minutes": minutes}
+    """Raises RunAborted if members don't reach the same view. Times of the result are in seconds."""
+    result: dict[str, Any] = {"members": count, "loss": loss, "pause_s": pause, "minutes": minutes}
     with MemberProcesses(count, timing or {}, seeds=3, seed=f"talks {count}", switched=False) as members:
         progress("starting")
-        began = now()
+        started_at = now()
         members.start(range(count))
-        everyone = list(range(count))
-        found["join_s"] = _together(members, everyone, began, "joining")
+        all_members = list(range(count))
+        result["join_s"] = _wait_for_agreement(members, all_members, started_at, "joining")
         progress("calm")
-        before, since = _costs(members, everyone), now()
-        gevent.sleep(CALM)
-        after, seconds = _costs(members, everyone), (now() - since) / SECOND
+        before, since = _resource_use(members, all_members), now()
+        gevent.sleep(CALM_S)
+        after, elapsed_s = _resource_use(members, all_members), (now() - since) / TICKS_PER_SECOND
         for name in ("sent", "bytes", "cpu"):
-            found[f"{name}_each_s"] = (after[name] - before[name]) / count / seconds
+            result[f"{name}_each_s"] = (after[name] - before[name]) / count / elapsed_s
         if minutes:
-            found |= _weather(members, everyone, loss, pause, minutes, progress)
-        found |= _deaths(members, everyone, deaths, progress)
-    return found
+            result |= _measure_under_faults(members, all_members, loss, pause, minutes, progress)
+        result |= _measure_failure_detection(members, all_members, deaths, progress)
+    return result
 
 
-def _costs(members: MemberProcesses, up: list[int]) -> dict[str, float]:
-    said = [members.processes[n].ask("digest") for n in up]
-    return {name: sum(one[name] for one in said) for name in ("sent", "bytes", "cpu")}
+def _resource_use(members: MemberProcesses, up: list[int]) -> dict[str, float]:
+    reports = [members.processes[n].ask("digest") for n in up]
+    return {name: sum(report[name] for report in reports) for name in ("sent", "bytes", "cpu")}
 
 
-def _together(members: MemberProcesses, up: list[int], since: Time, what: str) -> float:
-    if not members.until(lambda: agreed(members, up), 120.0):
-        raise Broken(f"members hold no one view two minutes after {what}")
-    return (now() - since) / SECOND
+def _wait_for_agreement(members: MemberProcesses, up: list[int], since: Time, phase: str) -> float:
+    if not members.wait_until(lambda: all_agree(members, up), 120.0):
+        raise RunAborted(f"members have no common view two minutes after {phase}")
+    return (now() - since) / TICKS_PER_SECOND
 
 
-def _weather(
+def _measure_under_faults(
     members: MemberProcesses,
     up: list[int],
     loss: float,
@@ -75,67 +79,71 @@
     minutes: float,
     progress: Callable[[str], None],
 ) -> dict[str, Any]:
-    """Accusations of those that ran, and deaths told of anybody: all of them live."""
+    """Counts false suspicions of running members, and false deaths: all members are alive."""
     since = now()
     for n in up:
         members.processes[n].ask(f"lose {loss}")
-    thirds, turn = [up[n::3] for n in range(3)], 0
-    stopped: list[tuple[Time, Time, set[str]]] = []
-    while (now() - since) / SECOND < 60 * minutes:
-        progress(f"weather {(now() - since) / SECOND:.0f} s")
+    thirds, next_third = [up[n::3] for n in range(3)], 0
+    pauses: list[tuple[Time, Time, set[str]]] = []
+    while (now() - since) / TICKS_PER_SECOND < 60 * minutes:
+        progress(f"faults {(now() - since) / TICKS_PER_SECOND:.0f} s")
         if pause:
-            some = thirds[turn % 3]
-            turn += 1
+            paused = thirds[next_third % 3]
+            next_third += 1
             at = now()
-            members.pause(some)
+            members.pause(paused)
             gevent.sleep(pause)
-            members.go_on(some)
-            stopped.append((at, now(), {f"m{n}" for n in some}))
+            members.resume(paused)
+            pauses.append((at, now(), {f"m{n}" for n in paused}))
         gevent.sleep(pause or 1.0)
     until = now()
     for n in up:
         members.processes[n].ask("lose 0")
-    agree = _together(members, up, until, "the weather")
-    told = [entry for entry in members.told("suspect") if since <= entry[0] < until]
-    # Accused while stopped, or just after, it was away; else it was wronged.
-    wronged = {
-        (name, at // SECOND)
-        for at, _, name in told
-        if not any(a <= at <= b + 2 * SECOND and name in who for a, b, who in stopped)
+    agree = _wait_for_agreement(members, up, until, "the faults")
+    suspicions = [entry for entry in members.state_changes("suspect") if since <= entry[0] < until]
+    # A suspicion is false unless the member was paused at the time or until shortly before.
+    false_suspicions = {
+        (name, at // TICKS_PER_SECOND)
+        for at, _, name in suspicions
+        if not any(
+            start <= at <= end + 2 * TICKS_PER_SECOND and name in names for start, end, names in pauses
+        )
     }
-    hours = (until - since) / SECOND / 3600
-    dead = {name for at, _, name in members.told("dead") if at >= since}
+    hours = (until - since) / TICKS_PER_SECOND / 3600
+    dead = {name for at, _, name in members.state_changes("dead") if at >= since}
     return {
-        "wronged_an_hour_each": len(wronged) / hours / len(up),
+        "wronged_an_hour_each": len(false_suspicions) / hours / len(up),
         "false_deaths": len(dead),
-        "pauses": len(stopped) * len(up) // 3,
+        "pauses": len(pauses) * len(up) // 3,
         "agree_s": agree,
     }
 
 
-def _deaths(
+def _measure_failure_detection(
     members: MemberProcesses, up: list[int], deaths: int, progress: Callable[[str], None]
 ) -> dict[str, Any]:
-    """From each kill to when each of the others told it dead."""
-    times: list[float] = []
-    known: list[float] = []
+    """Times from each kill until each of the other members declared it dead."""
+    all_times: list[float] = []
+    times_to_99_percent: list[float] = []
     for n in up[-deaths:] if deaths else ():
-        progress(f"death of m{n}")
+        progress(f"killing m{n}")
         up = [other for other in up if other != n]
-        at = now()
+        killed_at = now()
         members.kill([n])
-        _together(members, up, at, f"the death of m{n}")
-        took = sorted(
-            (when - at) / SECOND for when, who, name in members.told("dead") if name == f"m{n}" and when >= at
+        _wait_for_agreement(members, up, killed_at, f"the death of m{n}")
+        detection_times = sorted(
+            (detected_at - killed_at) / TICKS_PER_SECOND
+            for detected_at, observer, name in members.state_changes("dead")
+            if name == f"m{n}" and detected_at >= killed_at
         )
-        times += took
-        known.append(took[int(0.99 * (len(took) - 1))])
-    if not times:
+        all_times += detection_times
+        times_to_99_percent.append(detection_times[int(0.99 * (len(detection_times) - 1))])
+    if not all_times:
         return {}
-    times.sort()
+    all_times.sort()
     return {
-        "death_median_s": median(times),
-        "death_p99_s": times[int(0.99 * (len(times) - 1))],
-        "death_known_to_99_s": median(known),
-        "death_known_to_99_worst_s": max(known),
+        "death_median_s": median(all_times),
+        "death_p99_s": all_times[int(0.99 * (len(all_times) - 1))],
+        "death_known_to_99_s": median(times_to_99_percent),
+        "death_known_to_99_worst_s": max(times_to_99_percent),
     }
--- a/src/nettledeal/fleet/processor_waits.py
+++ b/src/nettledeal/fleet/processor_waits.py
@@ -1,6 +1,6 @@
-"""How long each agent waited for a processor, as the kernel counts it, sampled while a play runs.
+"""How long each agent waited for a processor, as the kernel counts it, sampled during a run.
 
-An agent that is ready to run and has no processor is as much stopped as one that the rig itself has stopped.
+An agent that is runnable but has no processor can act as little as one that the rig has stopped.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from nettledeal.model import Time
 
 NANOSECONDS_PER_TICK = 100_000  # of `Time`, tenths of a millisecond
-# Samples are so many seconds apart, or this much for each agent where there are many.
+# Sampling interval: the larger of a fixed time and a time for each agent.
 SAMPLED_EVERY_S = 0.02
 SAMPLED_EVERY_S_EACH = 0.0005
 
 
 def processor_wait_ns(process_id: int) -> int | None:
-    """What the main thread of a process has waited for a processor; None where the kernel doesn't tell."""
+    """Total time that the main thread of a process has waited for a processor; None if it can't be read."""
     try:
         _, waited_ns, _ = Path(f"/proc/{process_id}/schedstat").read_text().split()
         return int(waited_ns)
@@ -28,7 +28,7 @@
 
 
 class ProcessorWaits:
-    """Sums of waits by agent, from one sample to the next; a process that was started anew goes on."""
+    """Accumulated waits by agent at each sample; a restarted process continues the sum of its predecessor."""
 
     def __init__(self) -> None:
         self._sampled_at: dict[int, list[Time]] = defaultdict(list)
@@ -36,22 +36,22 @@
         self._last: dict[int, tuple[int, int]] = {}  # process id and its counter
 
     def sample(self, agent: int, process_id: int, at: Time) -> None:
-        """Read the counter of an agent's process."""
+        """Samples the counter of an agent's process."""
         counter_ns = processor_wait_ns(process_id)
         if counter_ns is not None:
             self.add(agent, process_id, at, counter_ns)
 
     def add(self, agent: int, process_id: int, at: Time, counter_ns: int) -> None:
-        """Take a counter that was read at a time; times rise."""
-        known_id, known_ns = self._last.get(agent, (process_id, counter_ns))
-        grown_ns = counter_ns - known_ns if known_id == process_id else counter_ns
+        """Adds a counter value that was read at time `at`; times must not decrease."""
+        last_id, last_ns = self._last.get(agent, (process_id, counter_ns))
+        increase_ns = counter_ns - last_ns if last_id == process_id else counter_ns
         self._last[agent] = (process_id, counter_ns)
         sums = self._waited_ns[agent]
         self._sampled_at[agent].append(at)
-        sums.append((sums[-1] if sums else 0) + max(0, grown_ns))
+        sums.append((sums[-1] if sums else 0) + max(0, increase_ns))
 
     def between(self, agent: int, since: Time, until: Time) -> Time:
-        """What an agent waited from the last sample at or before `since` to the first at or after `until`."""
+        """Wait of an agent from the last sample at or before `since` to the first at or after `until`."""
         times, sums = self._sampled_at.get(agent), self._waited_ns.get(agent)
         if not times or not sums:
             return 0
@@ -59,8 +59,8 @@
         last = min(len(times) - 1, bisect_left(times, until))
         return max(0, sums[last] - sums[first]) // NANOSECONDS_PER_TICK
 
-    def most(self, agents: Iterable[int], span: Time) -> Time:
-        """The most that one of the agents waited within a span of that length."""
+    def longest(self, agents: Iterable[int], span: Time) -> Time:
+        """The longest wait of any of the agents within a window of length `span`."""
         return max(
             (
                 self.between(agent, at - span, at)
--- a/src/nettledeal/fleet/results.py
+++ b/src/nettledeal/fleet/results.py
@@ -1,4 +1,4 @@
-"""What a run leaves: written whole or not at all."""
+"""Result folders of runs, written atomically."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 
 def write(folder: Path, result: dict[str, Any], files: dict[str, bytes]) -> None:
-    """Under another name until all of it is on disk; an interrupted run leaves nothing that passes for
-    whole.
+    """Writes to a temporary folder and renames it once everything is on disk, so an interrupted run leaves no
+    incomplete result.
     """
     folder.parent.mkdir(parents=True, exist_ok=True)
-    half = folder.with_name(f".{folder.name}.{os.getpid()}")
-    shutil.rmtree(half, ignore_errors=True)
-    half.mkdir()
+    temporary = folder.with_name(f".{folder.name}.{os.getpid()}")
+    shutil.rmtree(temporary, ignore_errors=True)
+    temporary.mkdir()
     try:
         for name, raw in (files | {FILE: msgspec.json.format(msgspec.json.encode(result))}).items():
-            with (half / name).open("wb") as file:
+            with (temporary / name).open("wb") as file:
                 file.write(raw)
                 file.flush()
                 os.fsync(file.fileno())
         if folder.exists():
-            old = folder.with_name(f".{folder.name}.{os.getpid()}.old")
-            folder.rename(old)
-            half.rename(folder)
-            shutil.rmtree(old)
+            previous = folder.with_name(f".{folder.name}.{os.getpid()}.old")
+            folder.rename(previous)
+            temporary.rename(folder)
+            shutil.rmtree(previous)
         else:
-            half.rename(folder)
+            temporary.rename(folder)
     finally:
-        shutil.rmtree(half, ignore_errors=True)
+        shutil.rmtree(temporary, ignore_errors=True)
 
 
 def read(folder: Path) -> dict[str, Any]:
-    """Raises ConfigError where the folder holds no whole result."""
+    """Raises ConfigError if the folder has no complete result."""
     try:
         return msgspec.json.decode((folder / FILE).read_bytes())
-    except OSError as fault:
-        raise ConfigError(f"{folder}: no result: {fault.strerror}") from None
-    except msgspec.DecodeError as fault:
-        raise ConfigError(f"{folder / FILE}: no result: {fault}") from None
+    except OSError as error:
+        raise ConfigError(f"{folder}: no result: {error.strerror}") from None
+    except msgspec.DecodeError as error:
+        raise ConfigError(f"{folder / FILE}: no result: {error}") from None
--- a/src/nettledeal/fleet/roster.py
+++ b/src/nettledeal/fleet/roster.py
@@ -1,6 +1,6 @@
-"""The list service: each agent asks at a place of its own, so each may hear late, or nothing.
+"""A child process that serves the backend list; each agent has an endpoint that can be delayed or hang.
 
-A record is (time, agent, version, [(backend's id, life)]): what has been written to which agent.
+A record is (time, agent, version, [(backend id, lifecycle)]): the entries that were sent to an agent.
 """
 
 from __future__ import annotations
@@ -12,52 +12,52 @@
 from gevent import socket
 from gevent.event import Event
 
-from nettledeal.fleet.http import requests, written
-from nettledeal.fleet.wires import Post, accepting, now
+from nettledeal.fleet.child_runtime import ControlPipe, accept_connections, now
+from nettledeal.fleet.http import encode_response, read_requests
 from nettledeal.net.transport.sockets import listening_socket
 
-ALIVE = 2.0  # seconds between two lines of a watch on which nothing changes
+KEEPALIVE_S = 2.0  # interval of empty lines on an unchanged watch
 
 
-class Ear:
-    """What one agent may know by now."""
+class ListEndpoint:
+    """Serves the list to one agent, up to the version that this agent may know."""
 
-    def __init__(self, agent: int, place: tuple[str, int], ports: int, roster: Roster):
-        self.agent, self.ports, self.roster = agent, ports, roster
-        self.version = roster.version
-        self.extra, self.deaf = 0.0, False
-        self.news = Event()
-        gevent.spawn(accepting, listening_socket(place), self._serve)
+    def __init__(self, agent: int, address: tuple[str, int], port_offset: int, backend_list: BackendList):
+        self.agent, self.port_offset, self.backend_list = agent, port_offset, backend_list
+        self.version = backend_list.version
+        self.extra_lag_s, self.unresponsive = 0.0, False
+        self.changed = Event()
+        gevent.spawn(accept_connections, listening_socket(address), self._serve)
 
-    def learn(self, version: int, lag: float) -> None:
-        gevent.spawn_later(lag + self.extra, self._learned, version)
+    def schedule_update(self, version: int, lag_s: float) -> None:
+        gevent.spawn_later(lag_s + self.extra_lag_s, self._apply_update, version)
 
-    def _learned(self, version: int) -> None:
-        while self.deaf:
+    def _apply_update(self, version: int) -> None:
+        while self.unresponsive:
             gevent.sleep(0.02)
         self.version = max(self.version, version)
-        self.news.set()
+        self.changed.set()
 
-    def _line(self, after: int | None) -> bytes:
-        """What changed after that version, as far as this agent may know; all of it without."""
+    def _line(self, after_version: int | None) -> bytes:
+        """Entries changed after that version, or all for None, up to the version this agent may know."""
         known = [
             entry
-            for entry in self.roster.entries.values()
-            if (after is None or entry["version"] > after) and entry["first"] <= self.version
+            for entry in self.backend_list.entries.values()
+            if (after_version is None or entry["version"] > after_version) and entry["first"] <= self.version
         ]
         listed = []
         for entry in known:
-            # Of one that has changed again since, what it was is told.
-            state = next(s for s in reversed(entry["states"]) if s[0] <= self.version)
-            if after is not None and state[0] <= after:
+            # The latest state that this agent may know; the entry may have changed since.
+            state = next(candidate for candidate in reversed(entry["states"]) if candidate[0] <= self.version)
+            if after_version is not None and state[0] <= after_version:
                 continue
-            if after is None and state[1] == "gone":
+            if after_version is None and state[1] == "gone":
                 continue
             host, port = entry["place"]
             listed.append(
                 {
                     "instanceId": entry["id"],
-                    "hostPort": f"{host}:{port + self.ports}",
+                    "hostPort": f"{host}:{port + self.port_offset}",
                     "zone": entry["zone"],
                     "machineType": entry["kind"],
                     "cell": 0,
@@ -66,78 +66,81 @@
                     "startedAtMs": state[2],
                 }
             )
-        told = [(entry["instanceId"], entry["lifecycle"]) for entry in listed]
-        if told:
-            self.roster.post.records.append((now(), self.agent, self.version, told))
-        line = {"generation": self.version, "reset": after is None, "instances": listed}
+        notified = [(entry["instanceId"], entry["lifecycle"]) for entry in listed]
+        if notified:
+            self.backend_list.pipe.records.append((now(), self.agent, self.version, notified))
+        line = {"generation": self.version, "reset": after_version is None, "instances": listed}
         return msgspec.json.encode(line) + b"\n"
 
-    def _serve(self, peer: socket.socket, _: tuple) -> None:
+    def _serve(self, connection: socket.socket, _: tuple) -> None:
         try:
-            for heard in requests(peer):
-                if self.deaf:
+            for request in read_requests(connection):
+                if self.unresponsive:
                     gevent.sleep(60)
-                if b"watch=1" in heard.url:
-                    self._watch(peer, int(heard.url.rpartition(b"from=")[2] or 0))
+                if b"watch=1" in request.url:
+                    self._watch(connection, int(request.url.rpartition(b"from=")[2] or 0))
                 else:
-                    peer.sendall(written("200 OK", self._line(None)))
+                    connection.sendall(encode_response("200 OK", self._line(None)))
         except OSError:
             pass
         finally:
-            peer.close()
+            connection.close()
 
-    def _watch(self, peer: socket.socket, after: int) -> None:
-        peer.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    def _watch(self, connection: socket.socket, after_version: int) -> None:
+        connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         first = True
         while True:
-            self.news.clear()
-            if self.deaf:
-                gevent.sleep(0.02)  # says nothing at all, as behind a cut link
+            self.changed.clear()
+            if self.unresponsive:
+                gevent.sleep(0.02)  # sends nothing, as if the link were cut
                 continue
             line = b"\n"
-            if first or self.version > after:
-                line, after, first = self._line(after), self.version, False
-            peer.sendall(b"%x\r\n%b\r\n" % (len(line), line))
-            self.news.wait(ALIVE)
+            if first or self.version > after_version:
+                line, after_version, first = self._line(after_version), self.version, False
+            connection.sendall(b"%x\r\n%b\r\n" % (len(line), line))
+            self.changed.wait(KEEPALIVE_S)
 
 
-class Roster:
-    def __init__(self, told: dict, post: Post):
-        self.post, self.lag = post, told["lag"]
-        self.chance = Random(told["seed"])
+class BackendList:
+    def __init__(self, config: dict, pipe: ControlPipe):
+        self.pipe, self.lag_s = pipe, config["lag"]
+        self.rng = Random(config["seed"])
         self.version = 1
         self.entries: dict[str, dict] = {}
-        for entry in told["entries"]:
+        for entry in config["entries"]:
             self._put(entry)
-        self.ears = [Ear(agent, tuple(place), ports, self) for agent, place, ports in told["agents"]]
+        self.endpoints = [
+            ListEndpoint(agent, tuple(address), port_offset, self)
+            for agent, address, port_offset in config["agents"]
+        ]
 
     def _put(self, entry: dict) -> None:
-        kept = self.entries.setdefault(
+        stored = self.entries.setdefault(
             entry["id"], entry | {"states": [], "first": self.version, "version": 0}
         )
-        kept["states"].append((self.version, entry["lifecycle"], entry["started"]))
-        kept["version"] = self.version
+        stored["states"].append((self.version, entry["lifecycle"], entry["started"]))
+        stored["version"] = self.version
 
-    def order(self, told: dict) -> None:
-        match told["do"]:
+    def handle_message(self, message: dict) -> None:
+        match message["do"]:
             case "change":
                 self.version += 1
-                for entry in told["entries"]:
+                for entry in message["entries"]:
                     self._put(entry)
-                for ear in self.ears:
-                    ear.learn(self.version, self.chance.random() * self.lag)
+                for endpoint in self.endpoints:
+                    endpoint.schedule_update(self.version, self.rng.random() * self.lag_s)
             case "list_late":
-                for agent in told["who"]:
-                    self.ears[agent].extra = told["figure"]
+                for agent in message["who"]:
+                    self.endpoints[agent].extra_lag_s = message["figure"]
             case "list_deaf":
-                for agent in told["who"]:
-                    self.ears[agent].deaf = bool(told["figure"])
+                for agent in message["who"]:
+                    self.endpoints[agent].unresponsive = bool(message["figure"])
             case unknown:
-                raise ValueError(f"no order {unknown!r}")
+                raise ValueError(f"unknown command {unknown!r}")
 
 
 def main() -> None:
-    post = Post()
-    roster = Roster(post.told(), post)
-    post.say(ready=True)
-    post.serve(roster.order)
+    pipe = ControlPipe()
+    backend_list = BackendList(pipe.read_message(), pipe)
+    pipe.say(ready=True)
+    pipe.serve(backend_list.handle_message)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The rig's pure parts as tables, and one short run of real processes judged by what they wrote down."""
+"""Tests of the deterministic parts of the fleet package, without processes."""
 
 from pathlib import Path
 from random import Random
@@ -7,12 +7,12 @@
 import pytest
 
 from nettledeal.configuration_files import ConfigError
-from nettledeal.fleet import checker, experiment, measures, results
-from nettledeal.fleet.links import Condition, Way
+from nettledeal.fleet import experiment, load_metrics, results, rule_checker
+from nettledeal.fleet.fault_schedule import assign_zones, build_schedule
+from nettledeal.fleet.links import LinkCondition, LinkDirection
 from nettledeal.fleet.processor_waits import ProcessorWaits
-from nettledeal.fleet.script import script, spread
-from nettledeal.fleet.server import FULL, HELD, Server
-from nettledeal.fleet.traffic import asks
+from nettledeal.fleet.server_model import FULL, HELD, ServerModel
+from nettledeal.fleet.workload import generate_requests
 
 PLAIN = """
 about = "a few"
@@ -33,10 +33,10 @@
 """
 
 
-def asked(tmp_path, text, **more):
+def load_text(tmp_path, text, **options):
     file = tmp_path / "asked.toml"
     file.write_text(text)
-    return experiment.read(file, **more).experiment
+    return experiment.load_experiment(file, **options).experiment
 
 
 @pytest.mark.parametrize(
@@ -59,13 +59,13 @@
         ("about", "about", None),
     ],
 )
-def test_a_fault_of_an_experiment_names_its_key(tmp_path, old, new, key):
+def test_an_invalid_experiment_is_reported_with_its_key(tmp_path, old, new, key):
     text = PLAIN.replace(old, new, 1)
     if key is None:
-        assert asked(tmp_path, text).agents.count == 6
+        assert load_text(tmp_path, text).agents.count == 6
         return
     with pytest.raises(ConfigError, match=f"^{key}: ") as fault:
-        asked(tmp_path, text)
+        load_text(tmp_path, text)
     assert "\n" not in str(fault.value)
 
 
@@ -84,9 +84,9 @@
         ('kind = "hang"\nat = 2.0\n[[fault]]\nkind = "hang"\nat = 1.0', "fault.1.at"),
     ],
 )
-def test_a_fault_that_cannot_be_played_is_refused(tmp_path, lines, key):
+def test_an_impossible_fault_is_rejected(tmp_path, lines, key):
     with pytest.raises(ConfigError, match=f"^{key}: "):
-        asked(tmp_path, f"{PLAIN}\n[[fault]]\n{lines}\n")
+        load_text(tmp_path, f"{PLAIN}\n[[fault]]\n{lines}\n")
 
 
 @pytest.mark.parametrize(
@@ -102,86 +102,86 @@
         ),
     ],
 )
-def test_a_script_breaks_the_same_ones_each_time_and_mends_them(tmp_path, lines, verbs):
-    found = asked(tmp_path, f"{PLAIN}\n[[fault]]\n{lines}\n")
-    played = script(found)
-    assert [(act.verb, len(act.who)) for act in played.acts] == verbs
-    assert played == script(found)
-    assert [act.at for act in played.acts] == sorted(act.at for act in played.acts)
-    assert set(played.ways) == ({0, 1} if "link" in lines else {0})
+def test_a_fault_schedule_is_deterministic_and_ends_its_faults(tmp_path, lines, verbs):
+    loaded = load_text(tmp_path, f"{PLAIN}\n[[fault]]\n{lines}\n")
+    schedule = build_schedule(loaded)
+    assert [(action.verb, len(action.targets)) for action in schedule.actions] == verbs
+    assert schedule == build_schedule(loaded)
+    assert [action.at for action in schedule.actions] == sorted(action.at for action in schedule.actions)
+    assert set(schedule.link_groups) == ({0, 1} if "link" in lines else {0})
 
 
 def test_traffic_is_drawn_ahead_and_equal_for_equal_seeds(tmp_path):
-    found = asked(tmp_path, PLAIN)
-    drawn = asks(found)
-    assert drawn == asks(found) != asks(msgspec.structs.replace(found, seed=2))
-    assert len({ask.id for ask in drawn}) == len(drawn)
-    assert spread(5, [3.0, 1.0]).count(0) == 4
+    loaded = load_text(tmp_path, PLAIN)
+    drawn = generate_requests(loaded)
+    assert drawn == generate_requests(loaded) != generate_requests(msgspec.structs.replace(loaded, seed=2))
+    assert len({request.id for request in drawn}) == len(drawn)
+    assert assign_zones(5, [3.0, 1.0]).count(0) == 4
 
 
-def server(**changes):
+def new_server(**changes):
     fields = {
         "cores": 1,
         "speed": 1.0,
-        "room": 3,
+        "max_held": 3,
         "report_every": 20,
         "report_lag": 0,
         "cold_from": 0.5,
         "warm_within": 1000,
-        "push": 2.0,
-        "push_for": 100,
-        "chance": Random(1),
+        "overload_factor": 2.0,
+        "overload_window": 100,
+        "rng": Random(1),
     }
-    return Server(**fields | changes)
+    return ServerModel(**fields | changes)
 
 
 def test_a_server_works_in_order_and_turns_away_what_it_cannot_hold():
-    s = server()
-    assert [s.arrive(0, n, 100) for n in range(4)] == [HELD, HELD, HELD, FULL]
-    assert s.begin(0) == [(0, 100)]
-    assert s.leave(10, 1) and not s.leave(10, 0)
-    s.done(100, 0)
-    assert s.begin(100) == [(2, 100)]
-    assert s.report(130) == (1, 0)
-
-
-@pytest.mark.parametrize(("works", "fallen"), [([50, 50], False), ([50, 50, 60], True)])
-def test_a_cold_server_falls_over_where_it_is_sent_too_much(works, fallen):
-    s = server(started=1000, room=9)
+    model = new_server()
+    assert [model.arrive(0, n, 100) for n in range(4)] == [HELD, HELD, HELD, FULL]
+    assert model.begin(0) == [(0, 100)]
+    assert model.cancel(10, 1) and not model.cancel(10, 0)
+    model.finish(100, 0)
+    assert model.begin(100) == [(2, 100)]
+    assert model.report(130) == (1, 0)
+
+
+@pytest.mark.parametrize(("works", "crashed"), [([50, 50], False), ([50, 50, 60], True)])
+def test_a_cold_server_crashes_when_it_receives_too_much_work(works, crashed):
+    model = new_server(started=1000, max_held=9)
     for n, work in enumerate(works):
-        s.arrive(1001 + n, n, work)
-    assert s.fallen is fallen
-    assert s.begin(1010) == ([] if fallen else [(0, 99)])
+        model.arrive(1001 + n, n, work)
+    assert model.crashed is crashed
+    assert model.begin(1010) == ([] if crashed else [(0, 99)])
 
 
 def test_late_and_false_reports():
-    s = server(report_lag=100, false=3.0)
-    s.arrive(1000, "a", 500)
-    s.begin(1010)
-    assert s.report(1050) == (0, 0)
-    s.arrive(1060, "b", 500)
-    assert s.report(1150) == (3, 0)
+    model = new_server(report_lag=100, report_factor=3.0)
+    model.arrive(1000, "a", 500)
+    model.begin(1010)
+    assert model.report(1050) == (0, 0)
+    model.arrive(1060, "b", 500)
+    assert model.report(1150) == (3, 0)
 
 
 @pytest.mark.parametrize(
     ("condition", "count"),
     [
-        (Condition(), 1000),
-        (Condition(cut=True), 0),
-        (Condition(silent=True), 0),
-        (Condition(loss=0.2), 800),
-        (Condition(repeats=0.5), 1500),
-        (Condition(reordering=0.5, jitter=50), 1000),
+        (LinkCondition(), 1000),
+        (LinkCondition(cut=True), 0),
+        (LinkCondition(silent=True), 0),
+        (LinkCondition(loss=0.2), 800),
+        (LinkCondition(repeats=0.5), 1500),
+        (LinkCondition(reordering=0.5, jitter=50), 1000),
     ],
 )
 def test_datagrams_of_a_link(condition, count):
-    way = Way(Random(1))
-    way.condition = condition
-    found = [at for sent in range(0, 10_000, 10) for at in way.datagram(sent)]
-    assert abs(len(found) - count) <= 0.1 * count
-    assert (found != sorted(found)) == bool(condition.reordering)
-    way.condition = Condition(delay=30, jitter=40)
-    stream = [way.stream(sent) for sent in range(0, 1000, 10)]
+    direction = LinkDirection(Random(1))
+    direction.condition = condition
+    arrivals = [at for sent in range(0, 10_000, 10) for at in direction.datagram_arrivals(sent)]
+    assert abs(len(arrivals) - count) <= 0.1 * count
+    assert (arrivals != sorted(arrivals)) == bool(condition.reordering)
+    direction.condition = LinkCondition(delay=30, jitter=40)
+    stream = [direction.stream_arrival(sent) for sent in range(0, 1000, 10)]
     assert stream == sorted(stream) and all(at >= 30 + 10 * n for n, at in enumerate(stream))
 
 
@@ -221,43 +221,43 @@
         (0, 200, 1501, [CAME, (1300, 2, "b2", "fell", "")], [], 3),
     ],
 )
-def test_the_checker_counts_each_broken_rule_and_nothing_else(
+def test_the_rule_checker_finds_each_broken_rule_and_nothing_else(
     tmp_path, number, status, answered, backends, roster, rule
 ):
-    found = asked(tmp_path, PLAIN)
+    loaded = load_text(tmp_path, PLAIN)
     records = {
         "clients": [("w", 3, number, 990, 1000, answered, status, 0)],
         "backends": backends,
         "roster": roster,
     }
-    broken = [name for name, lines in checker.check(found, records, [], 4000).items() if lines]
-    assert broken == ([] if rule is None else [checker.RULES[rule]])
+    broken = [name for name, lines in rule_checker.check_rules(loaded, records, [], 4000).items() if lines]
+    assert broken == ([] if rule is None else [rule_checker.RULES[rule]])
 
 
-def test_what_the_rig_itself_stopped_is_no_break(tmp_path):
-    found = asked(tmp_path, PLAIN)
+def test_agents_stopped_by_the_rig_break_no_rule(tmp_path):
+    loaded = load_text(tmp_path, PLAIN)
     records = {"clients": [("w", 3, 0, 990, 1000, 30_000, 0, -1)], "backends": [CAME], "roster": []}
-    assert checker.check(found, records, [], 4000)[checker.RULES[0]]
-    assert not checker.check(found, records, [(3, 900, None)], 4000)[checker.RULES[0]]
-    assert checker.check(found, records, [(3, 100, 900)], 4000)[checker.RULES[0]]
+    assert rule_checker.check_rules(loaded, records, [], 4000)[rule_checker.RULES[0]]
+    assert not rule_checker.check_rules(loaded, records, [(3, 900, None)], 4000)[rule_checker.RULES[0]]
+    assert rule_checker.check_rules(loaded, records, [(3, 100, 900)], 4000)[rule_checker.RULES[0]]
 
 
 @pytest.mark.parametrize(
     ("counters", "late_ms", "broken"),
     [
-        ([(0, 0), (30_000, 0)], 69, True),  # a planted late answer on an idle machine
-        ([], 69, True),  # the kernel told nothing
+        ([(0, 0), (30_000, 0)], 69, True),  # a late answer on an idle machine
+        ([], 69, True),  # no samples
         ([(0, 0), (21_000, 0), (21_300, 25), (30_000, 25)], 69, False),
         ([(0, 0), (21_000, 0), (21_300, 15), (30_000, 15)], 69, True),  # waited less than it was late
         ([(0, 0), (15_000, 900), (30_000, 900)], 69, True),  # waited long before
-        ([(0, 0), (30_000, 900)], 3000, True),  # as the broken build of the rig's test, on a busy machine
+        ([(0, 0), (30_000, 900)], 3000, True),  # like the modified build in test_rig, on a busy machine
     ],
 )
 def test_an_answer_is_late_by_what_its_agent_did_not_wait_for_a_processor(
     tmp_path, counters, late_ms, broken
 ):
-    found = asked(tmp_path, PLAIN)
-    expiry = 1000 + round(found.category[0].expiry_ms * 10)
+    loaded = load_text(tmp_path, PLAIN)
+    expiry = 1000 + round(loaded.category[0].expiry_ms * 10)
     records = {
         "clients": [("w", 3, 0, 990, 1000, expiry + 10 * late_ms, 503, -1)],
         "backends": [],
@@ -266,32 +266,37 @@
     waits = ProcessorWaits()
     for at, waited_ms in counters:
         waits.add(3, 17, at, waited_ms * 1_000_000)
-    assert bool(checker.check(found, records, [], 4000, waits=waits)[checker.RULES[0]]) is broken
+    assert (
+        bool(
+            rule_checker.check_rules(loaded, records, [], 4000, processor_waits=waits)[rule_checker.RULES[0]]
+        )
+        is broken
+    )
 
 
-def test_waits_go_on_where_an_agent_was_started_again():
+def test_processor_waits_continue_after_a_restart():
     waits = ProcessorWaits()
     for at, process_id, waited_ms in ((0, 1, 5), (100, 1, 9), (200, 2, 3), (300, 2, 4)):
         waits.add(0, process_id, at, waited_ms * 1_000_000)
     assert [waits.between(0, 0, until) for until in (100, 200, 300, 999)] == [40, 70, 80, 80]
     assert waits.between(0, 250, 260) == 10
     assert waits.between(1, 0, 999) == 0
-    assert waits.most([0, 1], 100) == 40
+    assert waits.longest([0, 1], 100) == 40
 
 
 def test_measures_of_even_load():
-    fit = [measures.Fit(n, 1.0 + n) for n in range(2)]
+    backends = [load_metrics.MeasuredBackend(n, 1.0 + n) for n in range(2)]
     held = [(0, 100, 0), (10, 60, 1), (20, 80, 1), (2000, 2010, 0), (2000, 2100, 1), (2001, 2100, 1)]
-    assert measures.peak_held(held)[0] == 2
-    assert measures.herd(held) == 2
-    assert measures.spread(held, fit)[0] == 0.0
-    assert measures.spread(held + [(2002, 2100, 0)], fit)[0] > 0.1
-    assert measures.idle(held, fit, 0, 3000, 1500) == [0, 1]
-    assert measures.idle(held, fit, 0, 3000, 2500) == []
-    assert measures.by_chance(held, fit, 1) == measures.by_chance(held, fit, 1)
+    assert load_metrics.peak_held(held)[0] == 2
+    assert load_metrics.herd(held) == 2
+    assert load_metrics.spread(held, backends)[0] == 0.0
+    assert load_metrics.spread(held + [(2002, 2100, 0)], backends)[0] > 0.1
+    assert load_metrics.idle(held, backends, 0, 3000, 1500) == [0, 1]
+    assert load_metrics.idle(held, backends, 0, 3000, 2500) == []
+    assert load_metrics.random_baseline(held, backends, 1) == load_metrics.random_baseline(held, backends, 1)
 
 
-def test_results_are_whole_or_not_there(tmp_path):
+def test_results_are_written_completely_or_not_at_all(tmp_path):
     folder = tmp_path / "out"
     results.write(folder, {"runs": [1]}, {"a.log": b"x"})
     with pytest.raises(TypeError):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""A short run of real processes, with faults between them; verdicts come from counts."""
+"""Short runs of real processes with injected faults, judged by the counts of broken rules."""
 
 import json
 import os
@@ -12,16 +12,16 @@
 import pytest
 from test_fleet import PLAIN
 
-from nettledeal.fleet.clients import SLACK
+from nettledeal.fleet.child_runtime import now
+from nettledeal.fleet.clients import DEADLINE_SLACK
 from nettledeal.fleet.processor_waits import ProcessorWaits, processor_wait_ns
-from nettledeal.fleet.wires import now
 
 ROOT = Path(__file__).parents[1]
-# As `fleet run` has it: with clients later than this the machine was too busy for the figures.
+# Same bound as `fleet run`: if clients are later than this, the machine is too busy for valid results.
 BUSY_MS = 20
-# The checker allows the agents this much; where a client was later, the machine stood still for longer.
-ALLOWED_MS = SLACK / 10
-PLAYS = 4
+# Tolerance of the rule checker. If a client itself was later, the machine stalled for longer than that.
+ALLOWED_MS = DEADLINE_SLACK / 10
+MAX_ATTEMPTS = 4
 FAULTS = """
 [[fault]]
 kind = "hang"
@@ -65,8 +65,8 @@
     )
 
 
-def mine(folder):
-    """Processes that were told something in that folder."""
+def processes_using(folder):
+    """Ids of processes whose environment names that folder."""
     found = []
     for place in Path("/proc").glob("[0-9]*"):
         try:
@@ -77,28 +77,31 @@
     return found
 
 
-def runs_with(tmp_path, verdict, text, *words):
-    """The runs of a play in which the rules broken by each are those of `verdict`. Where they are others and
-    the clients themselves were late, that says nothing of the agents: it is played again, some times."""
-    for _ in range(PLAYS):
-        play = fleet(tmp_path, text, "--json", *words)
-        out, err = play.communicate(timeout=100)
+def runs_with(tmp_path, expected_broken, text, *words):
+    """Returns the runs of an experiment whose broken rules equal `expected_broken`.
+
+    If they differ and the clients themselves were late, the result says nothing about the agents: the
+    experiment is repeated a few times.
+    """
+    for _ in range(MAX_ATTEMPTS):
+        process = fleet(tmp_path, text, "--json", *words)
+        out, err = process.communicate(timeout=100)
         assert out, err
         runs = json.loads(out)["runs"]
-        if [list(run["broken"]) for run in runs] == verdict:
-            assert play.returncode == (1 if any(verdict) else 0), err
+        if [list(run["broken"]) for run in runs] == expected_broken:
+            assert process.returncode == (1 if any(expected_broken) else 0), err
             return runs
         assert too_busy(runs), f"{err}\n{evidence(runs)}"
-    raise AssertionError(f"{PLAYS} plays on a busy machine: {evidence(runs)}")
+    raise AssertionError(f"{MAX_ATTEMPTS} attempts on a busy machine: {evidence(runs)}")
 
 
 def too_busy(runs):
-    """Whether clients of a run were late: often, or one by more than the checker allows the agents."""
+    """Whether clients were late: often (p99), or once by more than the tolerance of the rule checker."""
     return any(run["client_late_p99_ms"] > BUSY_MS or run["client_late_most_ms"] > ALLOWED_MS for run in runs)
 
 
 def evidence(runs):
-    """What a failed play leaves for whoever traces it: the rules that broke and the clients' delays."""
+    """Diagnostics of a failed run: the broken rules and the delays of the clients."""
     keys = (
         "policy",
         "seed",
@@ -111,13 +114,13 @@
     return json.dumps([{key: run[key] for key in keys} for run in runs], indent=1)[:6000]
 
 
-def test_what_a_process_waits_for_a_processor_is_measured():
+def test_processor_wait_of_a_process_is_measured():
     burn = "import os, time; os.sched_setaffinity(0, {0})\nfor _ in iter(time.monotonic, 0): pass"
     rivals = [subprocess.Popen([sys.executable, "-c", burn]) for _ in range(3)]
     waits, first = ProcessorWaits(), now()
     try:
-        limit = time.monotonic() + 30
-        while waits.between(0, first, now()) <= 10 * ALLOWED_MS and time.monotonic() < limit:
+        deadline = time.monotonic() + 30
+        while waits.between(0, first, now()) <= 10 * ALLOWED_MS and time.monotonic() < deadline:
             waits.sample(0, rivals[0].pid, now())
             time.sleep(0.02)
     finally:
@@ -128,7 +131,7 @@
     assert processor_wait_ns(rivals[0].pid) is None
 
 
-def test_a_dozen_processes_under_faults_keep_the_rules(tmp_path):
+def test_processes_under_faults_break_no_rule(tmp_path):
     (found,) = runs_with(tmp_path, [[]], PLAIN + FAULTS)
     assert found["rules"] == "kept" and found["judged"]
     assert found["asked"] > 40 and found["on_time"] > 0.5
@@ -136,7 +139,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_run_ends_all_that_it_started_and_leaves_no_result(tmp_path, number):
+def test_an_interrupted_run_kills_its_processes_and_leaves_no_result(tmp_path, number):
     (tmp_path / "tmp").mkdir()
     out = tmp_path / "out"
     run = fleet(
@@ -146,8 +149,8 @@
         str(out),
         TMPDIR=str(tmp_path / "tmp"),
     )
-    limit = time.monotonic() + 40
-    while len(list((tmp_path / "tmp").glob("*/agent-*.log"))) < 6 and time.monotonic() < limit:
+    deadline = time.monotonic() + 40
+    while len(list((tmp_path / "tmp").glob("*/agent-*.log"))) < 6 and time.monotonic() < deadline:
         time.sleep(0.05)
     assert len(list((tmp_path / "tmp").glob("*/agent-*.log"))) == 6
     run.send_signal(number)
@@ -155,10 +158,10 @@
     assert run.returncode == 1
     assert "all that was started has ended" in err
     assert not out.exists() and not list((tmp_path / "tmp").iterdir())
-    assert mine(tmp_path / "tmp") == []
+    assert processes_using(tmp_path / "tmp") == []
 
 
-def test_an_agent_that_ends_by_itself_ends_the_run_and_is_named(tmp_path):
+def test_an_agent_that_exits_unexpectedly_aborts_the_run_and_is_named(tmp_path):
     (tmp_path / "tmp").mkdir()
     out = tmp_path / "out"
     run = fleet(
@@ -169,17 +172,17 @@
         TMPDIR=str(tmp_path / "tmp"),
     )
     started = []
-    limit = time.monotonic() + 40
-    while len(started) < 6 and time.monotonic() < limit:
+    deadline = time.monotonic() + 40
+    while len(started) < 6 and time.monotonic() < deadline:
         time.sleep(0.05)
         started = [log for log in (tmp_path / "tmp").glob("*/agent-*.log") if '"started"' in log.read_text()]
     home = started[0].with_suffix("")
-    (victim,) = [pid for pid in mine(home) if pid != run.pid]
+    (victim,) = [pid for pid in processes_using(home) if pid != run.pid]
     os.kill(victim, signal.SIGKILL)
     _, err = run.communicate(timeout=40)
     assert run.returncode == 1
-    assert f"agent {home.name[6:]} ended with -9" in err and "all that was started has ended" in err
-    assert not out.exists() and mine(tmp_path / "tmp") == []
+    assert f"agent {home.name[6:]} exited with status -9" in err and "all that was started has ended" in err
+    assert not out.exists() and processes_using(tmp_path / "tmp") == []
 
 
 LIGHT = (
@@ -188,9 +191,9 @@
     .replace('"\n[[category]]', '"\nwork_ms = 8.0\n[[category]]')
     .replace('"unsafe"', '"unsafe"\nwork_ms = 8.0')
 )
-# More work than the warm ones can do, of more agents than see each other's, on reports of a while ago: who
-# does not spare the cold ones sends them some twice what topples them, who does about a half of it at most.
-# Few and long work items, so that a machine that is somewhat busy keeps up.
+# More work than the warm backends can do, from many independent agents with outdated load reports. A policy
+# that doesn't spare cold backends sends them about twice the load that crashes them; one that does sends at
+# most about half of it. Requests are few and long, so that a moderately busy machine keeps up.
 COLD = """processes = 2
 cold = 0.5
 cold_from = 0.1
@@ -204,7 +207,8 @@
     .replace("work_ms = 8.0", LONG)
     .replace("count = 6", "count = 12\nprobes = false")
 )
-# A build that breaks each rule (the file, a line of it, what stands there instead), and what brings it out.
+# For each rule, a modified build that breaks it (file, original text, replacement) and an experiment that
+# shows it.
 BUILDS = {
     "one answer": (
         "net/routing/router.py",
@@ -234,12 +238,12 @@
 
 
 @pytest.mark.parametrize("rule", BUILDS)
-def test_the_checker_finds_the_rule_that_a_broken_build_breaks_and_none_in_ours(tmp_path, rule):
-    file, old, new, day = BUILDS[rule]
+def test_the_rule_checker_finds_the_rule_that_a_modified_build_breaks(tmp_path, rule):
+    file, old, new, experiment = BUILDS[rule]
     tree = tmp_path / "broken"
     shutil.copytree(ROOT / "src" / "nettledeal", tree / "nettledeal")
     text = (tree / "nettledeal" / file).read_text()
     assert text.count(old) == 1
     (tree / "nettledeal" / file).write_text(text.replace(old, new))
-    sound, _ = runs_with(tmp_path, [[], [rule]], day, "--beside", f"broken={tree}")
+    sound, _ = runs_with(tmp_path, [[], [rule]], experiment, "--beside", f"broken={tree}")
     assert sound["rules"] == "kept"
