--- a/src/nettledeal/fleet/experiment.py
+++ b/src/nettledeal/fleet/experiment.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from nettledeal.configuration_files import ConfigError, decoded
+from nettledeal.configuration_files import ConfigError, decode_config
 
 TICKS_PER_SECOND = 10_000  # a tick of Time is a tenth of a millisecond
 BASELINES = ("random", "two-choices", "two-choices-true", "shortest-true")
@@ -148,7 +148,7 @@
         raw = file.read_bytes()
     except OSError as error:
         raise ConfigError(f"can't be read: {error.strerror}") from None
-    experiment = decoded(raw, Experiment, "TOML")
+    experiment = decode_config(raw, Experiment, "TOML")
     if agents is not None:
         experiment = msgspec.structs.replace(
             experiment, agents=msgspec.structs.replace(experiment.agents, count=agents)
