--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -20,7 +20,7 @@
     socket,
     wait_until,
 )
-from test_program import SRC, TOLD
+from test_program import CONFIG, SRC
 from test_rig import fleet
 
 from nettledeal.net.address import format_address
@@ -117,7 +117,7 @@
     discovery = ScriptedServer(lambda peer: peer.receive_message() and wait_until(bool, 600))
     addresses = [free_address() for _ in range(20)]
     configurations = [
-        {**TOLD, "listen": format_address(address), "discovery": format_address(discovery.address)}
+        {**CONFIG, "listen": format_address(address), "discovery": format_address(discovery.address)}
         for address in addresses
     ]
     agents = [start_agent(tmp_path / f"{n}", each) for n, each in enumerate(configurations)]
@@ -148,7 +148,7 @@
 def test_idle_clients_do_not_block_service_when_discovery_is_down(tmp_path):
     address, discovery_address = free_address(), free_address()
     configuration = {
-        **TOLD,
+        **CONFIG,
         "listen": format_address(address),
         "discovery": format_address(discovery_address),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
--- a/tests/test_settings_switch.py
+++ b/tests/test_settings_switch.py
@@ -23,7 +23,7 @@
     socket,
     wait_until,
 )
-from test_program import start
+from test_program import start_agent
 
 from nettledeal.hash_ring import stable_hash
 from nettledeal.net.address import format_address
@@ -115,7 +115,7 @@
         "known": fleet.catalogue(),
         "settings": settings,
     }
-    process = start(tmp_path, json.dumps(configuration).encode())
+    process = start_agent(tmp_path, json.dumps(configuration).encode())
     lines = []
     try:
         assert "started" in process.stderr.readline()
