--- a/src/nettledeal/standins/layout.py
+++ b/src/nettledeal/standins/layout.py
@@ -1,4 +1,4 @@
-"""Where the machines of a small system are, and their settings files."""
+"""Addresses and settings files of the machines of a small system."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Port(IntEnum):
-    """Ports that callers from outside use; internal ones come from the port range."""
+    """Ports for external callers; internal ports come from PORT_RANGE."""
 
     FRONTEND = 8161
     DIRECTORY = 8165
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """A block of loopback addresses that no other system on this machine uses at the same time."""
+    """A block of loopback addresses, so that systems that run at the same time don't collide."""
 
     prefix: str
 
     @classmethod
     def of_this_process(cls, number: int = 0) -> Network:
-        """The block that belongs to the process id; `number` tells apart several in one process."""
+        """The block for this process id; `number` distinguishes several systems in one process."""
         key = (os.getpid() * 4 + number) % (120 * 254)
         return cls(f"127.{100 + key // 254}.{1 + key % 254}")
 
@@ -61,8 +61,8 @@
         return f"{self.prefix}.{number}"
 
 
-class Machines(StrEnum):
-    """Classes of machines and the roles that they run."""
+class MachineClass(StrEnum):
+    """Classes of machines; the value is the role that a machine of the class runs."""
 
     CORE = "control-plane"
     EDGE = "data-plane"
@@ -79,25 +79,25 @@
 
     @property
     def core_addresses(self) -> list[Address]:
-        """Where the operator calls."""
+        """The control planes' addresses for operators."""
         return [Address(self.core_host(number), Port.CONTROL_PLANE) for number in range(self.cores)]
 
     @property
     def directory_addresses(self) -> list[Address]:
-        """Where clients ask for data planes."""
+        """The directories' addresses, where clients resolve data planes."""
         return [Address(self.core_host(number), Port.DIRECTORY) for number in range(self.cores)]
 
     @property
     def platform_address(self) -> Address:
-        """Where the platform's list is."""
+        """The address of the platform's backend list."""
         return Address(self.network.host(200), Port.PLATFORM)
 
     def backend_address(self, number: int) -> Address:
-        """Where a backend listens."""
+        """The address of a backend."""
         return Address(self.network.host(100 + number), Port.BACKEND)
 
     def core_zone(self, number: int) -> Zone:
-        """The zone of a core machine of the first start."""
+        """The zone of a core machine of the initial deployment."""
         return _zone_of(number)
 
     def core_settings(self, number: int, folder: Path, bootstrap: bool, zone: Zone | None = None) -> Settings:
@@ -106,7 +106,9 @@
         listen = Listen(
             control_plane=f"{host}:{int(Port.CONTROL_PLANE)}", directory=f"{host}:{int(Port.DIRECTORY)}"
         )
-        settings = self._settings(f"core-{number + 1}", Machines.CORE, host, zone or _zone_of(number), listen)
+        settings = self._settings(
+            f"core-{number + 1}", MachineClass.CORE, host, zone or _zone_of(number), listen
+        )
         return msgspec.structs.replace(
             settings, bootstrap=bootstrap, counts_for_quorum=True, data_dir=str(folder / settings.node_name)
         )
@@ -115,18 +117,18 @@
         """The settings of an edge machine."""
         host = self.network.host(51 + number)
         listen = Listen(frontend=f"{host}:{int(Port.FRONTEND)}", readiness=f"{host}:{int(Port.READINESS)}")
-        return self._settings(f"edge-{number + 1}", Machines.EDGE, host, _zone_of(number), listen)
+        return self._settings(f"edge-{number + 1}", MachineClass.EDGE, host, _zone_of(number), listen)
 
     def core_host(self, number: int) -> str:
         """The address of a core machine."""
         return self.network.host(11 + number)
 
-    def _settings(self, name: str, role: Machines, host: str, zone: Zone, listen: Listen) -> Settings:
+    def _settings(self, name: str, role: MachineClass, host: str, zone: Zone, listen: Listen) -> Settings:
         return Settings(
             node_name=name,
             role=str(role),
-            machine_class="core" if role is Machines.CORE else "edge",
-            serves=["control_plane", "registry"] if role is Machines.CORE else ["edge"],
+            machine_class="core" if role is MachineClass.CORE else "edge",
+            serves=["control_plane", "registry"] if role is MachineClass.CORE else ["edge"],
             ip=host,
             zone=str(zone),
             region=zone.region,
@@ -141,7 +143,7 @@
 
 
 def _zone_of(number: int) -> Zone:
-    """Machines of a class are dealt to the zones in turn."""
+    """Assign machines of a class to zones round-robin."""
     return list(Zone)[number % len(Zone)]
 
 
@@ -157,5 +159,5 @@
 
 
 def _lines(items: Iterable[tuple[str, object]]) -> Iterable[str]:
-    # Strings, numbers, truth values and lists of strings and numbers are written alike in JSON and in TOML.
+    # Strings, numbers, booleans and lists of these have the same syntax in JSON and TOML.
     return (f"{key} = {msgspec.json.encode(value).decode()}" for key, value in items if value is not None)
--- a/src/nettledeal/standins/processes.py
+++ b/src/nettledeal/standins/processes.py
@@ -1,4 +1,4 @@
-"""A process of the serving system on loopback: started with a settings file, followed by its log."""
+"""A process of the serving system on loopback, started with a settings file and observed through its log."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 PROGRAM = ROOT / "src" / "nettledeal_system.py"
-PAUSE_S = 0.05
-LINES_KEPT = 2000
+POLL_INTERVAL_S = 0.05
+MAX_LOG_LINES = 2000
 
 LogEvent = Mapping[str, object]
 
 
 def wait_until(condition: Callable[[], object], within_s: float, what: str) -> None:
-    """Wait until a condition holds; raises ServingError with TIMED_OUT that names `what`."""
+    """Wait until a condition holds; raises ServingError (TIMED_OUT, naming `what`) after `within_s`."""
     deadline = time.monotonic() + within_s
     while not condition():
         if time.monotonic() > deadline:
             raise ServingError(ErrorCode.TIMED_OUT, f"wait until {what}")
-        gevent.sleep(PAUSE_S)
+        gevent.sleep(POLL_INTERVAL_S)
 
 
 class SystemProcess:
-    """One process of a role; it is ended by its own id and by nothing else."""
+    """One process of a role; signals go to its process id only."""
 
     def __init__(self, name: str, role: str, settings_path: Path):
         self.name = name
@@ -45,16 +45,16 @@
         self.events: list[LogEvent] = []
         self.other_lines: list[str] = []
         self._process: subprocess.Popen | None = None
-        self._heard = Event()
-        self._reading: gevent.Greenlet | None = None
+        self._log_changed = Event()
+        self._reader: gevent.Greenlet | None = None
 
     @property
     def running(self) -> bool:
-        """Whether the process lives."""
+        """Whether the process is alive."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Start the program; its log is read from now on."""
+        """Start the program and begin to read its log."""
         environment = {**os.environ, SETTINGS_VARIABLE: str(self.settings_path)}
         environment["PYTHONPATH"] = os.pathsep.join(filter(None, sys.path))
         self.events.clear()
@@ -65,15 +65,15 @@
             stdout=subprocess.DEVNULL,
             stderr=subprocess.PIPE,
         )
-        self._reading = gevent.spawn(self._read, self._process.stderr)
+        self._reader = gevent.spawn(self._read_log, self._process.stderr)
 
     def wait_for(
         self, message_type: str, within_s: float, matches: Callable[[LogEvent], bool] = lambda event: True
     ) -> LogEvent:
-        """The first event of that kind in the log; raises ServingError where it does not come in time."""
+        """The first matching event in the log; raises ServingError on timeout or process exit."""
         deadline = time.monotonic() + within_s
         while True:
-            self._heard.clear()
+            self._log_changed.clear()
             for event in self.events:
                 if event.get("message_type") == message_type and matches(event):
                     return event
@@ -84,28 +84,28 @@
                 raise ServingError(
                     ErrorCode.TIMED_OUT, f"wait for {message_type}", f"the process {state} {lines}", self.name
                 )
-            self._heard.wait(remaining_s)
+            self._log_changed.wait(remaining_s)
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill it with SIGKILL."""
         self._signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
 
     def terminate(self) -> None:
-        """Ask it to end; returns at once."""
+        """Send SIGTERM; returns at once."""
         self._signal(signal.SIGTERM)
 
     def freeze(self) -> None:
-        """Have it stand still; its sockets stay."""
+        """Suspend it; its sockets stay open."""
         self._signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it go on after `freeze`."""
+        """Resume it after `freeze`."""
         self._signal(signal.SIGCONT)
 
     def wait(self, within_s: float) -> int | None:
-        """Its exit status; after `within_s` it is killed and the answer is None."""
+        """Its exit status, or None if it had to be killed after `within_s`."""
         try:
             return self._process.wait(timeout=within_s)
         except subprocess.TimeoutExpired:
@@ -116,16 +116,16 @@
         if self.running:
             self._process.send_signal(number)
 
-    def _read(self, log) -> None:
+    def _read_log(self, log) -> None:
         with log:
             for line in log:
-                self._take(line.decode(errors="replace").rstrip())
-        self._heard.set()
+                self._add_line(line.decode(errors="replace").rstrip())
+        self._log_changed.set()
 
-    def _take(self, line: str) -> None:
+    def _add_line(self, line: str) -> None:
         try:
             self.events.append(msgspec.json.decode(line, type=dict[str, object]))
         except msgspec.MsgspecError:
             self.other_lines.append(line)
-        del self.events[:-LINES_KEPT], self.other_lines[:-LINES_KEPT]
-        self._heard.set()
+        del self.events[:-MAX_LOG_LINES], self.other_lines[:-MAX_LOG_LINES]
+        self._log_changed.set()
