--- a/src/nettledeal/admin_handler.py
+++ b/src/nettledeal/admin_handler.py
@@ -49,7 +49,7 @@
 
     def _resume(self) -> str:
         if self.stopping():
-            raise CommandRefused("the agent is stopping")
+            raise CommandRefused("the agent is ending")
         self.listener.resume()
         return "serving"
 
@@ -61,15 +61,15 @@
             self.peers.publish_order(backend, cordoned)
         # The order counts as in force only once it is so in all processes of this agent.
         if not self.siblings.confirm_order(backend, cordoned):
-            raise CommandRefused("in force in this process, but not confirmed by the other processes yet")
+            raise CommandRefused("in force in this process, not confirmed by the other one yet")
         return backend
 
     def _require_peers(self) -> Peers:
         if self.peers is None:
-            raise CommandRefused("this agent has no peers: the key membership is not set")
+            raise CommandRefused("this agent does not talk with others: the key membership is not set")
         return self.peers
 
     def _forget(self, name: str) -> str:
         if not self._require_peers().forget(name):
-            raise CommandRefused("no dead member has that name")
+            raise CommandRefused("no dead member of that name")
         return name
