--- a/src/nettledeal/cli.py
+++ b/src/nettledeal/cli.py
@@ -71,7 +71,7 @@
         if file.suffix == ".toml":
             from nettledeal.fleet import experiment
 
-            experiment.read(file)
+            experiment.load_experiment(file)
         else:
             configuration.read_configuration(os.environ | {"EDGE_CONFIG": str(file)})
     except ConfigError as error:
@@ -180,14 +180,14 @@
     nettledeal fleet run experiments/first.toml
     nettledeal fleet run experiments/calm.toml --agents 200 --beside landed=../before/src --out results/calm
     """
-    from nettledeal.fleet import experiment, play
+    from nettledeal.fleet import experiment, experiment_runner
 
     try:
-        loaded = experiment.read(file, agents=agents, seed=seed, policies=policies, beside=beside)
+        plan = experiment.load_experiment(file, agents=agents, seed=seed, policies=policies, beside=beside)
     except ConfigError as error:
         raise _invalid_input(file, error) from None
     try:
-        return play.play(loaded, out, as_json, runs)
+        return experiment_runner.run_experiment(plan, out, as_json, runs)
     except ConfigError as error:
         raise _invalid_input(None, error) from None
 
@@ -214,7 +214,7 @@
     nettledeal fleet talk --members 200 --loss 0.2 --pause 5 --minutes 10
     """
     from nettledeal.fleet import membership_trial
-    from nettledeal.fleet.processes import Broken
+    from nettledeal.fleet.child_processes import RunAborted
 
     try:
         figures = membership_trial.measure(
@@ -225,7 +225,7 @@
             deaths=deaths,
             progress=lambda text: click.echo(text, err=True),
         )
-    except Broken as error:
+    except RunAborted as error:
         click.echo(f"nettledeal: {error}; all that was started has ended", err=True)
         return 1
     if as_json:
