--- a/src/nettledeal/dataplane/backend_connections.py
+++ b/src/nettledeal/dataplane/backend_connections.py
@@ -17,7 +17,7 @@
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.dataplane.idle_limit import LearnedIdleLimit
 from nettledeal.net.transport.buffers import MemoryPool, ReadBuffer
-from nettledeal.net.transport.sockets import abandon, peek
+from nettledeal.net.transport.sockets import peek_byte, reset_connection
 
 # Connect timeout, adapted to the last connect time of the backend: if the first packet was lost or the
 # backend is down, the connection takes much longer or is never established.
@@ -68,7 +68,7 @@
         """Close the connection; most backends then cancel the request on it."""
         if not self.closed:
             self.closed = True
-            abandon(self.sock)
+            reset_connection(self.sock)
             self.pool.connection_closed()
 
     def record_break(self, error: Exception, now: float) -> None:
@@ -85,7 +85,7 @@
     def reusable(self, now: float, max_idle_s: float = MAX_IDLE_LIMIT_S) -> bool:
         """Whether the connection is within its idle limits and nothing has arrived on it."""
         expired = self.idle_limit_reached(now) or now - self.idle_since >= max_idle_s
-        return not expired and peek(self.sock) is None
+        return not expired and peek_byte(self.sock) is None
 
 
 class ConnectionLimit:
@@ -183,14 +183,14 @@
             sock.connect(self.address)
             sock.settimeout(None)
         except OSError as error:
-            abandon(sock)
+            reset_connection(sock)
             if isinstance(error, TimeoutError):
                 self._set_connect_timeout(2 * self.connect_timeout_s)
             raise ServingError(
                 ErrorCode.CONNECTION_LOST, "connect to backend", str(error), str(self.address)
             ) from None
         except BaseException:
-            abandon(sock)
+            reset_connection(sock)
             raise
         self._set_connect_timeout(CONNECT_TIMEOUT_FACTOR * (time.monotonic() - started_at))
         return sock
@@ -204,7 +204,7 @@
             connection.close()
             return
         connection.sock.settimeout(None)
-        connection.read_buffer.put(b"")
+        connection.read_buffer.replace_contents(b"")
         connection.idle_since = now
         self.idle.append(connection)
 
--- a/src/nettledeal/net/protocol/catalogue.py
+++ b/src/nettledeal/net/protocol/catalogue.py
@@ -1,4 +1,4 @@
-"""Entries of the list of backends, in the words of the project."""
+"""Decodes the list of backends that discovery sends."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 import msgspec
 
 from nettledeal.model import Lifecycle, Listing
-from nettledeal.net.address import Address, parsed
+from nettledeal.net.address import Address, parse_address
 
-_LIVES = {"ready": Lifecycle.RUNNING, "draining": Lifecycle.DRAINING, "gone": Lifecycle.GONE}
+_LIFECYCLES = {"ready": Lifecycle.RUNNING, "draining": Lifecycle.DRAINING, "gone": Lifecycle.GONE}
 
 
-class Garbled(ValueError):
-    """A line of the list that cannot be read; the text says what is wrong with it."""
+class MalformedCatalogue(ValueError):
+    """Data from discovery that can't be decoded; the text says what is wrong."""
 
 
 class _Entry(msgspec.Struct, rename="camel"):
@@ -38,22 +38,22 @@
 
 @dataclass(slots=True)
 class CatalogueUpdate:
-    """What one line of the list says, and where each backend is to be reached."""
+    """One line of the list, decoded: the backends that it names and their addresses."""
 
     generation: int
-    whole: bool
+    is_full: bool
     listings: list[Listing]
-    places: dict[str, Address]
-    unread: int = 0  # entries that make no sense
+    addresses: dict[str, Address]
+    unreadable_entries: int = 0  # entries that couldn't be decoded
 
     @property
-    def base(self) -> int | None:
-        """The version from which changes make up the list; one with holes would keep them."""
-        return self.generation if self.whole and not self.unread else None
+    def resume_version(self) -> int | None:
+        """The version to watch from; None unless this is a full list without unreadable entries."""
+        return self.generation if self.is_full and not self.unreadable_entries else None
 
 
 class Catalogue:
-    """Reads lines by the names of zones and kinds that the settings give."""
+    """Decodes lines, using the names of zones and machine types in the settings."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]):
         self.zones = {name: n for n, name in enumerate(zones)}
@@ -62,30 +62,30 @@
 
     def parse(self, line: bytes | bytearray | Mapping) -> CatalogueUpdate:
         try:
-            known = isinstance(line, Mapping)  # told at the start, read by then
-            read = msgspec.convert(line, _Line) if known else self.decoder.decode(line)
-        except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-            raise Garbled(str(fault)) from None
-        news = CatalogueUpdate(read.generation, read.reset, [], {})
-        for raw in read.instances:
+            is_parsed = isinstance(line, Mapping)  # from the configuration
+            parsed_line = msgspec.convert(line, _Line) if is_parsed else self.decoder.decode(line)
+        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+            raise MalformedCatalogue(str(error)) from None
+        update = CatalogueUpdate(parsed_line.generation, parsed_line.reset, [], {})
+        for raw_entry in parsed_line.instances:
             try:
-                self._add(news, msgspec.convert(raw, _Entry))
+                self._add(update, msgspec.convert(raw_entry, _Entry))
             except (msgspec.MsgspecError, ValueError):
-                news.unread += 1  # one that cannot be read must not cost the others
-        return news
+                update.unreadable_entries += 1  # one bad entry must not invalidate the others
+        return update
 
-    def _add(self, news: CatalogueUpdate, entry: _Entry) -> None:
-        life = _LIVES.get(entry.lifecycle)
-        if life is not Lifecycle.GONE:
-            news.places[entry.instance_id] = parsed(entry.host_port)
-        news.listings.append(self._listing(entry, life))
+    def _add(self, update: CatalogueUpdate, entry: _Entry) -> None:
+        lifecycle = _LIFECYCLES.get(entry.lifecycle)
+        if lifecycle is not Lifecycle.GONE:
+            update.addresses[entry.instance_id] = parse_address(entry.host_port)
+        update.listings.append(self._listing(entry, lifecycle))
 
-    def _listing(self, entry: _Entry, life: Lifecycle | None) -> Listing:
+    def _listing(self, entry: _Entry, lifecycle: Lifecycle | None) -> Listing:
         return Listing(
             backend=entry.instance_id,
-            # A word not known yet is no promise that new work is wanted.
-            lifecycle=life or Lifecycle.DRAINING,
-            # A zone that no setting names is no one's home.
+            # An unknown lifecycle: send it nothing new.
+            lifecycle=lifecycle or Lifecycle.DRAINING,
+            # -1: not in the settings, so never the own zone.
             zone=self.zones.get(entry.zone, -1),
             machine_type=self.kinds.get(entry.machine_type, -1),
             cell=entry.cell,
--- a/src/nettledeal/standins/checks.py
+++ b/src/nettledeal/standins/checks.py
@@ -1,4 +1,4 @@
-"""What must hold for the requests of a small system, from what clients and backends saw."""
+"""Invariants over the requests of a small system, checked on what clients and backends recorded."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     backends: Iterable[StandInBackend],
     kinds: Iterable[RequestKind],
 ) -> list[str]:
-    """A line for each breach; empty where all holds."""
+    """One line per violation; empty if all invariants hold."""
     backends, kinds = list(backends), list(kinds)
     sent = {request_id for client in clients for request_id in client.sent}
     return [
@@ -37,7 +37,7 @@
     for backend in backends:
         for run in backend.runs:
             if run.request_id not in sent:
-                yield f"unasked: {backend.listed.id} ran {run.request_id}"
+                yield f"unasked: {backend.catalogue_entry.id} ran {run.request_id}"
 
 
 def _repeated_runs(backends: list[StandInBackend], kinds: list[RequestKind]) -> Iterator[str]:
--- a/src/nettledeal/standins/clients.py
+++ b/src/nettledeal/standins/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: they find a data plane, send requests, retry as they are told and check every answer."""
+"""Stand-in clients: they resolve a data plane, send requests, retry as told and verify every answer."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from nettledeal.standins.layout import Zone
 
 RESOLVE_TIMEOUT_S = 1.0
-ANSWER_KEPT_S = 1.0
-FIRST_PAUSE_S = 0.1
-PROMISES = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
+MAX_RESOLVED_AGE_S = 1.0
+INITIAL_BACKOFF_S = 0.1
+RETRYABLE_STATUSES = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """What a client asks for."""
+    """A type of request: its route, prompt size and deadline."""
 
     name: str
     host: str
@@ -37,7 +37,7 @@
     deadline_s: float = 8.0
 
     def headers(self, request_id: str, subject: int) -> dict[str, str]:
-        """The headers of a request about a subject; requests about one subject share most of their prompt."""
+        """The headers of a request; requests with the same subject share the prefix of their prompt."""
         headers = {
             "Host": self.host,
             "Request-Id": request_id,
@@ -54,8 +54,11 @@
 
 
 class Ending(StrEnum):
-    """What became of a request: LOST is without an answer, FAILED with one that is final, WRONG one that
-    is not the request's own whole answer."""
+    """How a request ended.
+
+    LOST: no answer; FAILED: a final error status; WRONG: an answer that is incomplete or belongs to another
+    request.
+    """
 
     SERVED = "served"
     REFUSED = "refused"
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """A request's end. Times are seconds; `first_part_s` is None where there was no answer."""
+    """The result of a request. Times are in seconds; `first_part_s` is None if there was no answer."""
 
     kind: str
     ending: Ending
@@ -77,7 +80,7 @@
 
 
 class Resolved(msgspec.Struct):
-    """An answer of the registry."""
+    """A resolve response of the registry."""
 
     addresses: list[str]
     ttl_s: float
@@ -90,35 +93,37 @@
     zone: Zone
     directories: list[Address]
     random: Random
-    known: list[Address] = field(default_factory=list)
-    known_until_s: float = 0.0
+    addresses: list[Address] = field(default_factory=list)
+    addresses_expire_at_s: float = 0.0
     sent: list[str] = field(default_factory=list)
 
     def resolve(self, host: str) -> list[Address]:
-        """The data planes for this client; an old answer is kept where no new one is to be had."""
-        if time.monotonic() >= self.known_until_s:
+        """The data planes for this client; the last answer stays in use while no directory responds."""
+        if time.monotonic() >= self.addresses_expire_at_s:
             for directory in self.random.sample(self.directories, len(self.directories)):
                 if (answer := self._ask_directory(directory, host)) is not None:
-                    self.known = [parse_address(address) for address in answer.addresses]
-                    self.known_until_s = time.monotonic() + min(answer.ttl_s, ANSWER_KEPT_S)
+                    self.addresses = [parse_address(address) for address in answer.addresses]
+                    self.addresses_expire_at_s = time.monotonic() + min(answer.ttl_s, MAX_RESOLVED_AGE_S)
                     break
-        return self.known
+        return self.addresses
 
     def ask(self, kind: RequestKind, subject: int = 0) -> Outcome:
-        """Send a request, and again as far as the answers allow it, until its deadline."""
+        """Send a request and retry it until its deadline, as far as that is safe."""
         started_s = time.monotonic()
-        pause_s = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         attempts = 0
         while True:
             attempts += 1
-            outcome, pause_told_s = self._attempt(kind, subject, started_s)
+            outcome, retry_after_s = self._attempt(kind, subject, started_s)
             outcome.attempts = attempts
             outcome.total_s = time.monotonic() - started_s
-            again = outcome.ending is Ending.REFUSED or (outcome.ending is Ending.LOST and kind.repeatable)
-            pause_s = pause_told_s or pause_s * 1.5
-            if not again or outcome.total_s + pause_s > kind.deadline_s:
+            should_retry = outcome.ending is Ending.REFUSED or (
+                outcome.ending is Ending.LOST and kind.repeatable
+            )
+            backoff_s = retry_after_s or backoff_s * 1.5
+            if not should_retry or outcome.total_s + backoff_s > kind.deadline_s:
                 return outcome
-            gevent.sleep(pause_s)
+            gevent.sleep(backoff_s)
 
     def _ask_directory(self, directory: Address, host: str) -> Resolved | None:
         client = HttpClient(directory)
@@ -149,31 +154,31 @@
             return Outcome(kind.name, Ending.LOST, 0, detail=str(error)), None
         finally:
             client.close()
-        return _judge(kind, request_id, response, started_s)
+        return _check_response(kind, request_id, response, started_s)
 
     def _avoid(self, address: Address) -> None:
-        self.known = [other for other in self.known if other != address]
-        self.known_until_s = 0.0
+        self.addresses = [other for other in self.addresses if other != address]
+        self.addresses_expire_at_s = 0.0
 
 
-def _judge(
+def _check_response(
     kind: RequestKind, request_id: str, response: HttpResponse, started_s: float
 ) -> tuple[Outcome, float | None]:
     outcome = Outcome(kind.name, Ending.SERVED, 0)
     if response.body_started_at_s is not None:
         outcome.first_part_s = response.body_started_at_s - started_s
-    if response.status in PROMISES:
+    if response.status in RETRYABLE_STATUSES:
         outcome.ending = Ending.REFUSED
-        return outcome, float(response.headers.get("retry-after", FIRST_PAUSE_S))
+        return outcome, float(response.headers.get("retry-after", INITIAL_BACKOFF_S))
     if response.status != HTTPStatus.OK:
         outcome.ending, outcome.detail = Ending.FAILED, f"status {response.status}"
-    elif not _is_whole(kind, request_id, response):
+    elif not _is_complete(kind, request_id, response):
         outcome.ending, outcome.detail = Ending.WRONG, f"{request_id}: {response.body[:80]!r}"
     return outcome, None
 
 
-def _is_whole(kind: RequestKind, request_id: str, response: HttpResponse) -> bool:
-    """Whether the answer is one backend's to this request, from its first byte to its last."""
+def _is_complete(kind: RequestKind, request_id: str, response: HttpResponse) -> bool:
+    """Whether one backend produced the complete answer to this request."""
     signature = response.headers.get("server-signature")
     if response.headers.get("request-id") != request_id or signature is None:
         return False
--- a/src/nettledeal/standins/tenant_control.py
+++ b/src/nettledeal/standins/tenant_control.py
@@ -1,4 +1,4 @@
-"""The control state of a schedule: orders are judged as in service; each change makes a version."""
+"""The control state of a schedule, decided as in production; each change makes a new version."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class ControlHistory:
-    """All versions of the control state of a schedule, from the first to the newest."""
+    """All versions of the control state of a schedule, oldest first."""
 
-    def __init__(self, binds: bool = True, make_secret: MakeSecret = token_bytes):
+    def __init__(self, enforces_bindings: bool = True, make_secret: MakeSecret = token_bytes):
         self.state = ControlState()
         self.versions: list[Mapping[str, bytes]] = []
-        self._binds = binds
+        self._enforces_bindings = enforces_bindings
         self._make_secret = make_secret
 
     @property
@@ -45,28 +45,28 @@
         return tenants_of(self.state.entries)
 
     def put_configuration(self, body: bytes) -> bool:
-        """Put a configuration on top of the one in force; whether it was taken."""
+        """Put a configuration on top of the one in force; returns whether it was accepted."""
         try:
             configuration = parse_configuration(body)
         except ServingError:
             return False
-        concerned = configuration.has_tenants or TENANTS_KEY in self.state.entries
+        involves_tenants = configuration.has_tenants or TENANTS_KEY in self.state.entries
         command = PutConfiguration(
             self.state.generation,
             configuration.generation,
             xxhash.xxh3_128_digest(body),
             body,
-            claims_of(configuration) if concerned else None,
+            claims_of(configuration) if involves_tenants else None,
         )
         return self._carry_out(command)
 
     def rotate(self, tenant: str, public_keys: Mapping[str, str]) -> bool:
-        """Put the next key of a tenant, sealed for some regions; whether it was taken."""
+        """Put the next key of a tenant, sealed for these regions; returns whether it was accepted."""
         generation = key_in_force(self.state, tenant).generation + 1
         return self._put_key(tenant, make_sealed_key(generation, public_keys, self._make_secret))
 
     def drop(self, tenant: str) -> bool:
-        """Drop what is cached of a tenant; whether the order was taken."""
+        """Drop a tenant's cached data; returns whether the command was accepted."""
         return self._put_key(tenant, SealedKey(key_in_force(self.state, tenant).generation + 1))
 
     def _put_key(self, tenant: str, key: SealedKey) -> bool:
@@ -76,10 +76,10 @@
         decision = decide(self.state, command)
         if decision.outcome is not Outcome.ACCEPTED:
             return False
-        changes = tuple(change for change in decision.changes if self._kept(change))
+        changes = tuple(change for change in decision.changes if self._is_applied(change))
         self.state = self.state.after(self.state.sequence + 1, changes)
         self.versions.append(control_entries(self.state.entries))
         return True
 
-    def _kept(self, change: Change) -> bool:
-        return self._binds or not change.key.startswith(BINDING_PREFIX)
+    def _is_applied(self, change: Change) -> bool:
+        return self._enforces_bindings or not change.key.startswith(BINDING_PREFIX)
--- a/src/nettledeal/standins/tenant_fleet.py
+++ b/src/nettledeal/standins/tenant_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of agents and backends without input and output, for schedules about tenants.
+"""A fleet of agents and backends without I/O, for simulated schedules of tenants.
 
-The parts are those in service: control state and its published entries, routing table, gate, selection and
-the request as a backend gets it. Time is passed in.
+The parts are the production ones: control state and its published entries, routing table, gate, selection
+and the request as sent to a backend. The caller passes the time.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from nettledeal.dataplane.routing_table import RoutingTable, updated_table
 from nettledeal.dataplane.selection import AttemptOutcome, Refusal, Selector, ServiceProfile, Tuning
 from nettledeal.discovery.catalogue import Backend
-from nettledeal.net.protocol.framing import Malformed
+from nettledeal.net.protocol.framing import MalformedMessage
 from nettledeal.standins.prefix_cache import RecordingCache, parse_prompt
 from nettledeal.standins.tenant_faults import Fault, Hints, faulty_separate
 from nettledeal.tenancy.gate import TenantGate, TenantRefusal
@@ -25,28 +25,28 @@
 from nettledeal.tenancy.wiring import rewritten_services
 
 ZONES = {"north-1": "north", "south-1": "south"}
-MOST_HEADER, MOST_BODY = 16_384, 65_536
-# What a data plane of a release without tenants takes of the control source.
-KNOWN_TO_OLD = ("route/", "service/", "evacuation/", "limits", "generation")
+MAX_HEADER_BYTES, MAX_BODY_BYTES = 16_384, 65_536
+# Keys of the control source that a data plane of the release without tenants reads.
+OLD_RELEASE_KEY_PREFIXES = ("route/", "service/", "evacuation/", "limits", "generation")
 
 
 @dataclass
 class Engine:
-    """One incarnation of a backend and what it keeps."""
+    """One incarnation of a backend and its cache."""
 
-    listed: Backend
+    catalogue_entry: Backend
     cache: RecordingCache
 
     def read(self, tenant: str, sent: bytes) -> None:
-        """Take a request as it came over the wire."""
-        request = ClientRequest(MOST_HEADER, MOST_BODY)
+        """Parse a request as sent over the wire and process its prompt."""
+        request = ClientRequest(MAX_HEADER_BYTES, MAX_BODY_BYTES)
         request.read(bytearray(sent), len(sent))
-        self.cache.read_for(tenant, parse_prompt(request.header(b"prompt-prefix").decode("latin-1")))
+        self.cache.prefill_for(tenant, parse_prompt(request.header(b"prompt-prefix").decode("latin-1")))
 
 
 @dataclass
 class Agent:
-    """A data plane: everything of it that a request passes on its way to a backend."""
+    """The parts of a data plane that a request passes on its way to a backend."""
 
     zone: str
     opener: Opener | None
@@ -66,9 +66,11 @@
         self._first_seen: dict[str, bool] = {}
 
     def apply(self, version: int, entries: Mapping[str, bytes], now: float) -> None:
-        """Take a version of the control source."""
+        """Apply a version of the control source."""
         if self.of_old_release:
-            entries = {key: value for key, value in entries.items() if key.startswith(KNOWN_TO_OLD)}
+            entries = {
+                key: value for key, value in entries.items() if key.startswith(OLD_RELEASE_KEY_PREFIXES)
+            }
         self.version = version
         self.table = updated_table(self.table, entries)
         self.selector.update_services([ServiceProfile(name) for name in self.table.services], now)
@@ -77,11 +79,11 @@
 
     def serve(self, text: bytes, tenant: str, engines: Mapping[str, Engine], now: float) -> HTTPStatus:
         """Serve a client's request as `ingress` and `forwarding` do; returns the status of the answer."""
-        request = ClientRequest(MOST_HEADER, MOST_BODY)
+        request = ClientRequest(MAX_HEADER_BYTES, MAX_BODY_BYTES)
         try:
             request.read(bytearray(text), len(text))
             request.validate()
-        except Malformed as error:
+        except MalformedMessage as error:
             return HTTPStatus(error.status)
         target = self.table.find(request.header(b"host"), request.path)
         if target is None:
--- a/tests/features/steps/data_steps.py
+++ b/tests/features/steps/data_steps.py
@@ -12,9 +12,9 @@
 from behave import given, then, when
 
 from nettledeal.control.decisions import decide
-from nettledeal.control.epochs import WitnessState
+from nettledeal.control.effects import SaveChanges
+from nettledeal.control.epoch_consensus import AcceptorState
 from nettledeal.control.state import ControlState, PutConfiguration
-from nettledeal.control.steps import SaveChanges
 from nettledeal.control.storage import DATABASE_NAME, Storage
 from nettledeal.operator_api.api import order_digest
 from nettledeal.standins.layout import Layout, Network, write_settings
@@ -47,7 +47,7 @@
 
 
 def use_folder(context) -> Path:
-    """A fresh folder, which the scenario calls DATA."""
+    """Create an empty folder, which the scenario refers to as DATA."""
     holder = tempfile.TemporaryDirectory(prefix="nettledeal-")
     context.add_cleanup(holder.cleanup)
     context.folder = Path(holder.name) / "data"
@@ -57,14 +57,14 @@
 
 
 def digests(folder: Path) -> dict[str, str]:
-    """What tells whether the files of a folder have changed."""
+    """The digests of a folder's files, to detect changes."""
     return {path.name: hashlib.sha256(path.read_bytes()).hexdigest() for path in sorted(folder.iterdir())}
 
 
 def fill(folder: Path) -> None:
-    """A replica's database with configuration 7."""
+    """Create a replica's database with configuration 7."""
     storage = Storage(folder)
-    storage.create("a", WitnessState())
+    storage.create("a", AcceptorState())
     body = make_body(7)
     changes = decide(ControlState(), PutConfiguration(0, 7, order_digest(body), body)).changes
     storage.write([SaveChanges(-1, 1, changes)])
--- a/tests/system/stale_program.py
+++ b/tests/system/stale_program.py
@@ -1,4 +1,4 @@
-"""The program of `cut_program` with a fault: a primary answers reads without asking the others."""
+"""The program of `cut_program` with a fault: the primary answers reads without a quorum."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from system.cut_program import Cuts, cuts_path, install
 
 
-def read_unconfirmed(self, now: float, ticket: int) -> None:
-    """Answer from the own copy."""
-    self._outbox.answer(ticket, self._replicated.committed)
+def read_unconfirmed(self, now: float, call_id: int) -> None:
+    """Answer from the local state without confirmation."""
+    self._outbox.answer(call_id, self._replicated.committed)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_operator_api_schedules.py
+++ b/tests/system/test_operator_api_schedules.py
@@ -14,7 +14,7 @@
 from nettledeal.control import decisions as decisions_module
 from nettledeal.control.state import Outcome
 from nettledeal.distribution.control_source import control_entries
-from nettledeal.distribution.source import PublishedSource
+from nettledeal.distribution.published_source import PublishedSource
 from nettledeal.operator_api import api as api_module
 from nettledeal.operator_api.api import OperatorApi
 from nettledeal.operator_api.messages import Request
@@ -189,8 +189,8 @@
 
 def test_many_changes_leave_no_more_than_their_bound(monkeypatch):
     kept, pruned_at_once, log_length = 100, 20, 50
-    monkeypatch.setattr(decisions_module, "ACCEPTED_KEPT", kept)
-    monkeypatch.setattr(decisions_module, "PRUNED_AT_ONCE", pruned_at_once)
+    monkeypatch.setattr(decisions_module, "MAX_ACCEPTED_ORDERS", kept)
+    monkeypatch.setattr(decisions_module, "PRUNE_BATCH", pruned_at_once)
     node = MemoryNode()
     api = OperatorApi(node, "10.0.0.1:8166", lambda: ZONES)
     source = PublishedSource("control", log_length)
--- a/tests/system/test_releases.py
+++ b/tests/system/test_releases.py
@@ -1,5 +1,5 @@
-"""Neighbouring releases in one system: recorded messages of this one, fields of a later one, and real
-processes of both that serve together. The messages of distribution have tests of their own."""
+"""Compatibility of adjacent releases: recorded messages of this one, fields of a later one, and real
+processes of both in one system. The distribution messages have their own tests."""
 
 from pathlib import Path
 
@@ -10,15 +10,15 @@
 from nettledeal.common.errors import ErrorCode, ServingError
 from nettledeal.common.messages import MessageCodec
 from nettledeal.control import messages
-from nettledeal.control.epochs import WitnessState
+from nettledeal.control.epoch_consensus import AcceptorState
 from nettledeal.control.messages import CODEC, Ballot, EpochRecord, ReplicaInfo
 from nettledeal.control.state import Change, ConfigurationMeta
 from nettledeal.control.storage import Meta
 from nettledeal.discovery.catalogue import Backend, decode_backend, encode_backend
 from nettledeal.distribution import protocol
 from nettledeal.membership.cbor_codec import CborCodec
-from nettledeal.membership.packets import MOST_DATAGRAM, PING, VERSION, Packet
-from nettledeal.membership.view import Metadata, Order, Word
+from nettledeal.membership.packets import MAX_DATAGRAM_BYTES, PING, VERSION, Packet
+from nettledeal.membership.view import MemberRecord, Metadata, OperatorOrder
 from nettledeal.operator_api.configuration_checks import parse_configuration
 from nettledeal.standins.clients import Ending
 from nettledeal.standins.scenario import CARD, EXTRA, QUESTION, make_configuration
@@ -35,7 +35,7 @@
 BALLOT = Ballot(1, "a", 7)
 CHANGES = (Change("k", b"v"), Change("gone", None))
 
-# Each message as this release writes it. One that becomes unreadable breaks upgrades in place.
+# Each message as this release encodes it. A change that can't read one of them breaks rolling upgrades.
 RECORDED = {
     messages.Hello(INFO, RECORD): (
         "83018661616831302e302e302e31627a316272316b31302e302e302e313a383002850361618261616162828661616831"
@@ -67,7 +67,7 @@
     messages.Ranges(3, 5, (0,), CHANGES): ("8510030581008282616b41768264676f6e65f6"),
     messages.ForeignCluster("c"): ("82116163"),
 }
-# As releases wrote them that knew no clusters, and no leaves and lives.
+# As encoded by releases without cluster ids, orderly leaves and incarnations.
 RECORDED_EARLIER = {
     messages.Hello(INFO, EARLIER_RECORD): (
         "83018661616831302e302e302e31627a316272316b31302e302e302e313a383002840361618261616162828661616831"
@@ -88,8 +88,8 @@
     messages.Heartbeat(3, 9, 4, 20, "a", 1): ("870a03090414616101"),
     messages.HeartbeatAck(3, 9, 3, 4, True, -1): ("870b03090304f520"),
 }
-WORD = Word("edge-1", "10.0.1.1", 7723, 5, 1, 0, "", 0, Metadata("edge", "z1", 8161, True, False))
-PACKET = Packet(VERSION, "nd", PING, 7, WORD, WORD, [WORD], [Order("x", 1, "y", True)])
+WORD = MemberRecord("edge-1", "10.0.1.1", 7723, 5, 1, 0, "", 0, Metadata("edge", "z1", 8161, True, False))
+PACKET = Packet(VERSION, "nd", PING, 7, WORD, WORD, [WORD], [OperatorOrder("x", 1, "y", True)])
 
 
 @pytest.mark.parametrize("message", RECORDED, ids=lambda message: type(message).__name__)
@@ -141,19 +141,19 @@
 
 def test_packets_of_a_later_release_are_read():
     raw = cbor2.dumps(extended(PACKET))
-    assert CborCodec().decode(raw, "nd", MOST_DATAGRAM) == PACKET
+    assert CborCodec().decode(raw, "nd", MAX_DATAGRAM_BYTES) == PACKET
 
 
 def test_packets_of_a_release_that_told_less_are_read():
     plain = msgspec.to_builtins(PACKET)
     plain[4] = plain[4][:6]  # no accuser, place or metadata
     del plain[5:]
-    packet = CborCodec().decode(cbor2.dumps(plain), "nd", MOST_DATAGRAM)
-    assert packet == Packet(VERSION, "nd", PING, 7, Word(*plain[4]))
+    packet = CborCodec().decode(cbor2.dumps(plain), "nd", MAX_DATAGRAM_BYTES)
+    assert packet == Packet(VERSION, "nd", PING, 7, MemberRecord(*plain[4]))
 
 
 def test_a_witness_s_disk_of_a_later_release_is_read():
-    meta = Meta("a", WitnessState(RECORD, BALLOT, BALLOT, RECORD), 3, 9)
+    meta = Meta("a", AcceptorState(RECORD, BALLOT, BALLOT, RECORD), 3, 9)
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(extended(meta)), type=Meta) == meta
 
 
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -1,28 +1,28 @@
 import gevent
 import pytest
 from gevent import socket
-from helpers import Peer, until
+from helpers import PeerConnection, wait_until
 
 from nettledeal.net.counters import Counters
-from nettledeal.net.protocol import orders
-from nettledeal.net.protocol.orders import Order, Refused
+from nettledeal.net.protocol import admin_commands
+from nettledeal.net.protocol.admin_commands import AdminCommand, CommandRefused
 from nettledeal.net.transport import admin_server as admin_server_module
 from nettledeal.net.transport.admin_server import AdminServer
 
 
 @pytest.mark.parametrize(
-    ("line", "order"),
+    ("line", "command"),
     [
-        (b"health", Order("health")),
-        (b"health\r", Order("health")),
-        (b"  cordon   s-1 ", Order("cordon", "s-1")),
-        (b"uncordon s-1\r", Order("uncordon", "s-1")),
-        (b"quiesce", Order("quiesce")),
-        (b"resume", Order("resume")),
+        (b"health", AdminCommand("health")),
+        (b"health\r", AdminCommand("health")),
+        (b"  cordon   s-1 ", AdminCommand("cordon", "s-1")),
+        (b"uncordon s-1\r", AdminCommand("uncordon", "s-1")),
+        (b"quiesce", AdminCommand("quiesce")),
+        (b"resume", AdminCommand("resume")),
     ],
 )
-def test_lines_that_are_orders(line, order):
-    assert orders.order(line) == order
+def test_valid_commands(line, command):
+    assert admin_commands.parse_command(line) == command
 
 
 BAD = [
@@ -43,93 +43,93 @@
 
 
 @pytest.mark.parametrize("line", BAD)
-def test_lines_that_are_none(line):
-    with pytest.raises(Refused):
-        orders.order(line)
+def test_invalid_commands(line):
+    with pytest.raises(CommandRefused):
+        admin_commands.parse_command(line)
 
 
-def test_an_answer_is_one_line_whatever_it_says():
-    assert orders.refused("two\nlines\r\nand é") == b"-ERR two lines and ?\n"
-    assert orders.done() == b"+OK\n"
+def test_answer_is_always_one_line():
+    assert admin_commands.format_error("two\nlines\r\nand é") == b"-ERR two lines and ?\n"
+    assert admin_commands.format_ok() == b"+OK\n"
 
 
-class Desk:
+class AdminRig:
     def __init__(self, carry_out=None):
-        self.carried = []
+        self.commands = []
         self.counters = Counters()
-        self.admin_server = AdminServer(("127.0.0.1", 0), self.counters, carry_out or self._carry)
+        self.admin_server = AdminServer(("127.0.0.1", 0), self.counters, carry_out or self._carry_out)
         gevent.spawn(self.admin_server.run)
 
-    def _carry(self, order):
-        self.carried.append(order)
-        return order.backend
+    def _carry_out(self, command):
+        self.commands.append(command)
+        return command.argument
 
     def connect(self):
-        return Peer(socket.create_connection(self.admin_server.sock.getsockname()))
+        return PeerConnection(socket.create_connection(self.admin_server.sock.getsockname()))
 
     def call(self, text):
-        return self.connect().send(text).hear(end=b"never")
+        return self.connect().send(text).receive_message(end=b"never")
 
 
-def test_an_order_is_answered_once_it_is_carried_out():
-    desk = Desk()
-    assert desk.call(b"cordon s-1\r\n") == b"+OK s-1\n"
-    assert desk.carried == [Order("cordon", "s-1")]
+def test_command_is_answered_once_it_is_carried_out():
+    rig = AdminRig()
+    assert rig.call(b"cordon s-1\r\n") == b"+OK s-1\n"
+    assert rig.commands == [AdminCommand("cordon", "s-1")]
 
 
 @pytest.mark.parametrize(
     "text", [line + b"\n" for line in BAD] + [b"cordon " + 600 * b"s", b"health\nhealth\n", b"cordon s\nx"]
 )
-def test_what_is_no_order_gets_a_no_and_changes_nothing(text):
-    desk = Desk()
-    assert desk.call(text).startswith(b"-ERR ")
-    assert not desk.carried
+def test_invalid_command_is_refused(text):
+    rig = AdminRig()
+    assert rig.call(text).startswith(b"-ERR ")
+    assert not rig.commands
 
 
 @pytest.mark.parametrize("text", [b"", b"cordon s-", b"health"])
-def test_half_a_line_and_a_close_change_nothing(text):
-    desk = Desk()
-    caller = desk.connect().send(text)
+def test_incomplete_line_is_not_carried_out(text):
+    rig = AdminRig()
+    caller = rig.connect().send(text)
     caller.sock.shutdown(socket.SHUT_WR)
-    assert caller.hear(end=b"never")[:4] in (b"", b"-ERR")
-    assert not desk.carried
+    assert caller.receive_message(end=b"never")[:4] in (b"", b"-ERR")
+    assert not rig.commands
 
 
-def test_a_line_may_come_in_pieces():
-    desk = Desk()
-    caller = desk.connect()
+def test_line_may_arrive_in_pieces():
+    rig = AdminRig()
+    caller = rig.connect()
     for n in b"cordon s-1\n":
         caller.send(bytes((n,)))
         gevent.sleep(0)
-    assert caller.hear(end=b"never") == b"+OK s-1\n"
+    assert caller.receive_message(end=b"never") == b"+OK s-1\n"
 
 
-def test_silent_callers_keep_nobody_out_and_hold_no_more_than_their_places():
-    desk = Desk()
-    silent = [desk.connect() for _ in range(3 * admin_server_module.CALLERS)]
-    assert desk.call(b"health\n") == b"+OK\n"
-    assert until(lambda: desk.admin_server.held <= admin_server_module.CALLERS)
-    assert silent[0].hear(end=b"never") == b""
+def test_silent_callers_do_not_block_others():
+    rig = AdminRig()
+    silent = [rig.connect() for _ in range(3 * admin_server_module.MAX_ADMIN_CALLERS)]
+    assert rig.call(b"health\n") == b"+OK\n"
+    assert wait_until(lambda: rig.admin_server.open_callers <= admin_server_module.MAX_ADMIN_CALLERS)
+    assert silent[0].receive_message(end=b"never") == b""
 
 
-def test_a_silent_caller_is_let_go_in_time(monkeypatch):
-    monkeypatch.setattr(admin_server_module, "WITHIN", 0.01)
-    desk = Desk()
-    assert desk.connect().hear(end=b"never") == b""
-    assert until(lambda: not desk.admin_server.held)
+def test_silent_caller_is_disconnected(monkeypatch):
+    monkeypatch.setattr(admin_server_module, "LINE_TIMEOUT_S", 0.01)
+    rig = AdminRig()
+    assert rig.connect().receive_message(end=b"never") == b""
+    assert wait_until(lambda: not rig.admin_server.open_callers)
 
 
-def test_an_order_that_is_not_done_in_time_is_refused(monkeypatch):
-    monkeypatch.setattr(admin_server_module, "ANSWERED", 0.01)
-    desk = Desk(carry_out=lambda order: gevent.sleep(5))
-    assert desk.call(b"quiesce\n").startswith(b"-ERR ")
+def test_command_not_carried_out_in_time_is_refused(monkeypatch):
+    monkeypatch.setattr(admin_server_module, "COMMAND_TIMEOUT_S", 0.01)
+    rig = AdminRig(carry_out=lambda command: gevent.sleep(5))
+    assert rig.call(b"quiesce\n").startswith(b"-ERR ")
 
 
-def test_a_fault_in_an_order_is_told_and_the_door_stays():
-    def faulty(order):
+def test_exception_in_a_command_is_reported_and_the_port_stays_open():
+    def faulty(command):
         raise ZeroDivisionError
 
-    desk = Desk(carry_out=faulty)
-    assert desk.call(b"quiesce\n").startswith(b"-ERR ")
-    assert desk.call(b"health\n").startswith(b"-ERR ")
-    assert desk.counters["faults"] == 2
+    rig = AdminRig(carry_out=faulty)
+    assert rig.call(b"quiesce\n").startswith(b"-ERR ")
+    assert rig.call(b"health\n").startswith(b"-ERR ")
+    assert rig.counters["faults"] == 2
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,89 +1,96 @@
-"""What must hold however many agents and backends there are."""
+"""Properties that must hold for any number of agents and backends."""
 
 from collections import Counter
 
 import pytest
-from helpers import SECOND, Drive, answers, fleet, hand_offs, settings
+from helpers import SECOND, BalancerDriver, answers, attempts, balancer_settings, make_listings
 
 from nettledeal.model import Lifecycle, Listing, Outcome
 from nettledeal.policy.admission import OVERLOAD
 from nettledeal.policy.balancer import Balancer
 from nettledeal.policy.shared_state import SAMPLE_SIZE
 
-FULL_FLEET = fleet([0] * 20)
+FULL_FLEET = make_listings([0] * 20)
 
 
 @pytest.mark.parametrize("size", [10, 70, 300, 3000])
-def test_backends_looked_at_do_not_grow_with_the_fleet(size, monkeypatch):
-    drive = Drive([Listing(f"b{n}", zone=n % 3) for n in range(size)], balancers=500)
+def test_number_of_candidates_does_not_grow_with_the_fleet(size, monkeypatch):
+    driver = BalancerDriver([Listing(f"b{n}", zone=n % 3) for n in range(size)], balancers=500)
     looked = set()
-    view = drive.balancer.loads.cost
-    monkeypatch.setattr(drive.balancer.loads, "cost", lambda b, now: looked.add(b.id) or view(b, now))
-    assert hand_offs(drive.take())
+    view = driver.balancer.loads.cost
+    monkeypatch.setattr(driver.balancer.loads, "cost", lambda b, now: looked.add(b.id) or view(b, now))
+    assert attempts(driver.submit())
     assert 2 <= len(looked) <= 2 * SAMPLE_SIZE
 
 
-def test_agents_that_know_equally_little_spread_out():
+def test_agents_without_knowledge_spread_over_the_fleet():
     seen = Counter()
     for seed in range(300):
-        seen.update(ho.backend for ho in hand_offs(Drive(fleet([0] * 30), seed=seed, balancers=300).take()))
+        seen.update(
+            attempt.backend
+            for attempt in attempts(
+                BalancerDriver(make_listings([0] * 30), seed=seed, balancers=300).submit()
+            )
+        )
     assert len(seen) == 30
     assert max(seen.values()) < 30
 
 
 @pytest.mark.parametrize("agents", [300, 50])
-def test_shares_under_one_sum_up(agents):
-    """Slow answers everywhere: over all agents, hardly two crowds of the fleet are out on average."""
+def test_limits_below_one_work_item_add_up(agents):
+    """With slow answers everywhere all agents together have at most twice the overload in flight."""
     out = 0.0
     for seed in range(agents):
-        drive = Drive(FULL_FLEET, seed=seed, balancers=agents, categories__0__due_time=2 * SECOND)
+        driver = BalancerDriver(FULL_FLEET, seed=seed, balancers=agents, categories__0__due_time=2 * SECOND)
         waiting = []
         for turn in range(60):
-            drive.now += SECOND // 2
-            while waiting and waiting[0][0] <= drive.now:
-                ho = waiting.pop(0)[1]
-                drive.balancer.on_attempt_end(
-                    drive.now, ho.work_item, 0, Outcome.FINISHED, 20_000, closed=True, report={}
+            driver.now += SECOND // 2
+            while waiting and waiting[0][0] <= driver.now:
+                attempt = waiting.pop(0)[1]
+                driver.balancer.on_attempt_end(
+                    driver.now, attempt.work_item, 0, Outcome.FINISHED, 20_000, closed=True, report={}
                 )
-            waiting += [(drive.now + 20_000, ho) for ho in hand_offs(drive.take(0, 4 * SECOND))]
+            waiting += [(driver.now + 20_000, attempt) for attempt in attempts(driver.submit(0, 4 * SECOND))]
             out += len(waiting) / 30 if turn >= 30 else 0
     assert 0.2 * len(FULL_FLEET) <= out <= 2 * OVERLOAD * len(FULL_FLEET)
 
 
-def test_a_backend_never_used_is_guessed_by_its_kind():
-    drive = Drive([Listing(f"b{n}", machine_type=n % 2) for n in range(24)], balancers=100)
+def test_unused_backend_is_estimated_by_its_machine_type():
+    driver = BalancerDriver([Listing(f"b{n}", machine_type=n % 2) for n in range(24)], balancers=100)
     for _ in range(150):
-        for ho in hand_offs(drive.take()):
-            drive.back(ho, after=2400 if int(ho.backend[1:]) % 2 else 800)
+        for attempt in attempts(driver.submit()):
+            driver.finish_attempt(attempt, after=2400 if int(attempt.backend[1:]) % 2 else 800)
     kinds = [Listing("n0"), Listing("n1", machine_type=1)]
-    drive.balancer.update_backends(drive.now, kinds, whole=False, cached=False)
-    loads, backends = drive.balancer.loads, drive.balancer.state.backends
-    assert loads.cost(backends["n1"], drive.now) > 1.5 * loads.cost(backends["n0"], drive.now)
+    driver.balancer.update_backends(driver.now, kinds, whole=False, cached=False)
+    loads, backends = driver.balancer.loads, driver.balancer.state.backends
+    assert loads.cost(backends["n1"], driver.now) > 1.5 * loads.cost(backends["n0"], driver.now)
 
 
 @pytest.mark.parametrize(("age", "sharp"), [(0, True), (30 * SECOND, False)])
-def test_the_draw_is_as_sharp_as_memory_is_fresh(age, sharp):
-    drive = Drive(fleet([0] * 10))
-    backends = list(drive.balancer.state.backends.values())
+def test_the_draw_is_sharp_only_while_readings_are_fresh(age, sharp):
+    driver = BalancerDriver(make_listings([0] * 10))
+    backends = list(driver.balancer.state.backends.values())
     for b in backends:
         for _ in range(20):
-            drive.balancer.on_probe(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 3 * (b.id != "b0")})
-    drive.now += age
+            driver.balancer.on_probe(
+                driver.now, b.id, Outcome.FINISHED, 3, {"outstanding": 3 * (b.id != "b0")}
+            )
+    driver.now += age
     picks = Counter()
     for _ in range(200):
-        for ho in hand_offs(drive.take()):
-            picks[ho.backend] += 1
-            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+        for attempt in attempts(driver.submit()):
+            picks[attempt.backend] += 1
+            driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert (picks["b0"] > 0.5 * sum(picks.values())) == sharp
 
 
-@pytest.mark.parametrize("told", [None, 0, -5, 1, 10**9])
-def test_any_number_of_agents_is_survived(told):
-    plain = settings(balancers=told)
-    if told is None:
+@pytest.mark.parametrize("configured", [None, 0, -5, 1, 10**9])
+def test_any_configured_number_of_agents_is_accepted(configured):
+    plain = balancer_settings(balancers=configured)
+    if configured is None:
         del plain["balancers"]
     balancer = Balancer(1, plain, 0)
-    balancer.update_backends(0, fleet(), whole=True, cached=False)
+    balancer.update_backends(0, make_listings(), whole=True, cached=False)
     for n in range(30):
         assert balancer.submit(n * SECOND, n, 0, (n + 2) * SECOND).actions
 
@@ -95,183 +102,187 @@
         ([], False),
         ([Listing("b0")] * 50, True),
         ([Listing("b0"), Listing("b0", lifecycle=Lifecycle.GONE)], False),
-        (fleet((1, 2, 3)), True),
+        (make_listings((1, 2, 3)), True),
     ],
 )
 def test_odd_lists(listings, sent):
-    acts = Drive(listings, balancers=500).take()
-    assert bool(hand_offs(acts)) == sent
-    assert bool(answers(acts)) != sent
+    actions = BalancerDriver(listings, balancers=500).submit()
+    assert bool(attempts(actions)) == sent
+    assert bool(answers(actions)) != sent
 
 
-def test_a_list_replaced_whole_under_traffic():
-    drive = Drive(fleet((0, 0, 1)), balancers=300)
-    (ho,) = hand_offs(drive.take(1))
-    drive.balancer.update_backends(drive.now, [Listing(f"n{n}") for n in range(40)], whole=True, cached=False)
-    # It may have run on a backend that is gone: it is not sent again, and what is new goes to the new.
-    assert not hand_offs(drive.back(ho, Outcome.RESET))
-    assert all(ho.backend.startswith("n") for _ in range(10) for ho in hand_offs(drive.take()))
+def test_whole_list_replaced_under_traffic():
+    driver = BalancerDriver(make_listings((0, 0, 1)), balancers=300)
+    (attempt,) = attempts(driver.submit(1))
+    driver.balancer.update_backends(
+        driver.now, [Listing(f"n{n}") for n in range(40)], whole=True, cached=False
+    )
+    # It may have run on the removed backend, so it is not sent again; new work goes to the new backends.
+    assert not attempts(driver.finish_attempt(attempt, Outcome.RESET))
+    assert all(attempt.backend.startswith("n") for _ in range(10) for attempt in attempts(driver.submit()))
 
 
 def test_a_burst_after_minutes_of_silence():
-    drive = Drive(FULL_FLEET, balancers=500)
-    for ho in hand_offs(drive.take()):
-        drive.back(ho)
-    drive.now += 300 * SECOND
-    acts = [act for _ in range(50) for act in drive.take()]
-    assert 1 <= len(hand_offs(acts)) <= OVERLOAD
-    assert len(hand_offs(acts)) + len(answers(acts)) == 50
+    driver = BalancerDriver(FULL_FLEET, balancers=500)
+    for attempt in attempts(driver.submit()):
+        driver.finish_attempt(attempt)
+    driver.now += 300 * SECOND
+    actions = [action for _ in range(50) for action in driver.submit()]
+    assert 1 <= len(attempts(actions)) <= OVERLOAD
+    assert len(attempts(actions)) + len(answers(actions)) == 50
 
 
 @pytest.mark.parametrize("warm", [0, 10])
-def test_cold_backends_get_their_share_over_500_agents(warm):
-    """Many agents that see idle cold backends and long queues at all others: the sum stays under the push."""
+def test_cold_backends_get_their_share_from_500_agents(warm):
+    """Agents that see idle cold backends and long queues at all others stay below the overload in sum."""
     now, agents = 100_000, 500
     listings = [Listing(f"w{n}") for n in range(warm)] + [Listing(f"c{n}", started_at=now) for n in range(10)]
     seen, total = Counter(), 0
     for seed in range(agents):
-        drive = Drive(listings, seed=seed, balancers=agents, now=now)
+        driver = BalancerDriver(listings, seed=seed, balancers=agents, now=now)
         for name, queue in [(f"w{n}", 40) for n in range(warm)] + [(f"c{n}", 0) for n in range(10)]:
             for _ in range(12):
-                drive.balancer.on_probe(now, name, Outcome.FINISHED, 3, {"outstanding": queue})
-        for ho in hand_offs(drive.take()):
-            seen[ho.backend] += 1
+                driver.balancer.on_probe(now, name, Outcome.FINISHED, 3, {"outstanding": queue})
+        for attempt in attempts(driver.submit()):
+            seen[attempt.backend] += 1
             total += 1
-    # At most 0.7 of the push of 3 times what each cold one bears now, as a part of a warm fleet's work;
-    # where all are cold the rest is deferred.
+    # At most 0.7 of the overload, which is 3 times what each cold backend bears now, as a share of the work
+    # of a warm fleet; where all are cold the rest is deferred.
     share = 2.1 * 0.3 / (warm + 10)
     assert total > (0.9 if warm else 0.3) * agents
     assert 0.2 * share * agents <= min(seen[f"c{n}"] for n in range(10))
     assert sum(seen[f"c{n}"] for n in range(10)) <= 1.2 * 10 * share * agents
 
 
-def test_agents_agree_where_a_key_is_kept_and_a_hot_key_spreads():
-    drives = [Drive(fleet([0] * 30), seed=seed, family_info__warm_keys=True) for seed in range(40)]
+def test_agents_agree_on_the_backend_of_a_key_and_a_hot_key_spreads():
+    drives = [
+        BalancerDriver(make_listings([0] * 30), seed=seed, family_info__warm_keys=True) for seed in range(40)
+    ]
     cold, hot = Counter(), Counter()
-    for drive in drives:
-        cold.update(ho.backend for ho in hand_offs(drive.take(key="k1")))
+    for driver in drives:
+        cold.update(attempt.backend for attempt in attempts(driver.submit(key="k1")))
     for _ in range(60):
-        for ho in hand_offs(drives[0].take(key="k2")):
-            hot[ho.backend] += 1
-            drives[0].back(ho)
+        for attempt in attempts(drives[0].submit(key="k2")):
+            hot[attempt.backend] += 1
+            drives[0].finish_attempt(attempt)
     assert cold.most_common(1)[0][1] > 0.7 * sum(cold.values())
     assert len(hot) > 2
 
 
 @pytest.mark.parametrize(("wait", "sent"), [(SECOND // 2, False), (3 * SECOND, True)])
-def test_who_defers_everything_tries_again_after_a_while(wait, sent):
-    drive = Drive()
-    drive.back(hand_offs(drive.take())[0])
-    drive.balancer.state.categories[0].base_time = 30_000.0
-    drive.now += wait
-    assert bool(hand_offs(drive.take())) == sent
+def test_agent_that_defers_everything_sends_a_trial_after_a_while(wait, sent):
+    driver = BalancerDriver()
+    driver.finish_attempt(attempts(driver.submit())[0])
+    driver.balancer.state.categories[0].base_time = 30_000.0
+    driver.now += wait
+    assert bool(attempts(driver.submit())) == sent
 
 
-def test_one_heavy_answer_does_not_make_a_category_hopeless():
-    drive = Drive(categories__0__payoff=1.0)
-    drive.back(hand_offs(drive.take())[0], after=9900)
-    drive.now += SECOND // 10
-    assert hand_offs(drive.take())
+def test_one_slow_answer_does_not_defer_a_whole_category():
+    driver = BalancerDriver(categories__0__payoff=1.0)
+    driver.finish_attempt(attempts(driver.submit())[0], after=9900)
+    driver.now += SECOND // 10
+    assert attempts(driver.submit())
 
 
-def test_the_usual_time_rises_slower_than_it_falls():
+def test_base_time_rises_slower_than_it_falls():
     usual = {}
     for after in (500, 8000):
-        drive = Drive()
-        start = drive.balancer.state.guess_base_time(drive.balancer.state.categories[0])
+        driver = BalancerDriver()
+        start = driver.balancer.state.guess_base_time(driver.balancer.state.categories[0])
         for _ in range(5):
-            drive.back(hand_offs(drive.take(0, 20_000))[0], after=after)
-            drive.now += 3 * SECOND
-        usual[after] = drive.balancer.state.categories[0].base_time
+            driver.finish_attempt(attempts(driver.submit(0, 20_000))[0], after=after)
+            driver.now += 3 * SECOND
+        usual[after] = driver.balancer.state.categories[0].base_time
     assert usual[500] < 0.6 * start
     assert usual[8000] < 3 * start
 
 
 @pytest.mark.parametrize("away", [0, 40])
 @pytest.mark.parametrize(("age", "least", "most"), [(2, 0.2, 0.9), (7, 0.5, 1.3)])
-def test_a_cold_backend_gets_work_by_what_it_bears(age, least, most, away):
-    """Warm ones that an agent knows well must not starve a cold one, nor may its own small budget. Agents of
-    other zones send next to nothing there, so that their backends are no part of what shares it."""
+def test_cold_backend_gets_work_by_its_capacity(age, least, most, away):
+    """Neither well-known warm backends nor its own small budget may starve a cold one. Agents of other zones
+    send almost nothing there, so their backends do not count among those that share the work."""
     warm, cold = Counter(), 0
     for seed in range(60):
         now = 100_000
         listings = [*(Listing(f"w{n}") for n in range(7)), Listing("c", started_at=now - age * SECOND)]
         listings += [Listing(f"a{n}", zone=1) for n in range(away)]
-        drive = Drive(listings, seed=seed, balancers=300, now=now)
+        driver = BalancerDriver(listings, seed=seed, balancers=300, now=now)
         for n in range(7):
-            drive.balancer.on_probe(now, f"w{n}", Outcome.FINISHED, 3, {"outstanding": 0})
+            driver.balancer.on_probe(now, f"w{n}", Outcome.FINISHED, 3, {"outstanding": 0})
         for _ in range(20):
-            for ho in hand_offs(drive.take()):
-                warm[ho.backend] += ho.backend != "c"
-                cold += ho.backend == "c"
-                drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+            for attempt in attempts(driver.submit()):
+                warm[attempt.backend] += attempt.backend != "c"
+                cold += attempt.backend == "c"
+                driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     usual = sum(warm.values()) / 7
     assert least * usual < cold < most * usual
 
 
-def test_the_pace_of_a_cold_backend_is_learned_beside_its_coldness():
-    drive = Drive([Listing("c", started_at=99_000), Listing("w")], rules__warm_within=60 * SECOND)
-    b = drive.balancer.state.backends["c"]
+def test_learned_slowness_excludes_the_warm_up():
+    driver = BalancerDriver([Listing("c", started_at=99_000), Listing("w")], rules__warm_within=60 * SECOND)
+    b = driver.balancer.state.backends["c"]
     for _ in range(40):
-        for ho in hand_offs(drive.take()):
-            slow = drive.balancer.health.capacity(b, drive.now) if ho.backend == "c" else 1.0
-            drive.back(ho, after=int(1000 / slow))
-    assert abs(drive.balancer.loads._log_slowness(b, drive.now)) < 0.3
+        for attempt in attempts(driver.submit()):
+            slow = driver.balancer.health.capacity(b, driver.now) if attempt.backend == "c" else 1.0
+            driver.finish_attempt(attempt, after=int(1000 / slow))
+    assert abs(driver.balancer.loads._log_slowness(b, driver.now)) < 0.3
 
 
-def test_a_cold_backend_takes_draws_that_are_its_own_by_a_key():
-    """Clipped as one drawn for any key, the home of some keys would get next to none of them."""
+def test_cold_backend_gets_work_whose_key_prefers_it():
+    """With the cap of a draw without keys, the home of some keys would get almost none of their work."""
     now, sent, named = 100_000, 0, 0
     listings = [Listing(f"b{n}", started_at=0 if n else now - 4 * SECOND) for n in range(40)]
     for seed in range(20):
-        drive = Drive(listings, seed=seed, balancers=20, now=now, family_info__warm_keys=True)
-        affinity = drive.balancer.key_affinity
+        driver = BalancerDriver(listings, seed=seed, balancers=20, now=now, family_info__warm_keys=True)
+        affinity = driver.balancer.key_affinity
         homes = [(key, affinity.preferred(key)[0].id) for key in map("k{}".format, range(400))]
         mine = [key for key, home in homes if home == "b0"][:3]
         others = [key for key, home in homes if home != "b0"][:117]
         for key in 2 * (mine + others):
             named += key in mine
-            for ho in hand_offs(drive.take(key=key)):
-                sent += key in mine and ho.backend == "b0"
-                drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+            for attempt in attempts(driver.submit(key=key)):
+                sent += key in mine and attempt.backend == "b0"
+                driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert named == 120
     assert 0.35 * named < sent < 0.95 * named
 
 
-@pytest.mark.parametrize(("belief", "sharp"), [(0.5, True), (0.05, False)])
-def test_the_draw_is_no_sharper_than_reports_have_foretold(belief, sharp):
-    drive = Drive(fleet([0] * 10))
-    loads = drive.balancer.loads
-    loads.squares, loads.products = 1e6, belief * 1e6
-    for b in drive.balancer.state.backends.values():
-        drive.balancer.on_probe(drive.now, b.id, Outcome.FINISHED, 3, {"outstanding": 0})
-        assert (loads._sharpness(b, drive.now, 800) > 11) == sharp
-        assert loads._sharpness(b, drive.now + 60 * SECOND, 800) < 3.1
+@pytest.mark.parametrize(("trust", "sharp"), [(0.5, True), (0.05, False)])
+def test_the_draw_is_no_sharper_than_reports_predict(trust, sharp):
+    driver = BalancerDriver(make_listings([0] * 10))
+    loads = driver.balancer.loads
+    loads.squares, loads.products = 1e6, trust * 1e6
+    for b in driver.balancer.state.backends.values():
+        driver.balancer.on_probe(driver.now, b.id, Outcome.FINISHED, 3, {"outstanding": 0})
+        assert (loads._sharpness(b, driver.now, 800) > 11) == sharp
+        assert loads._sharpness(b, driver.now + 60 * SECOND, 800) < 3.1
 
 
 @pytest.mark.parametrize(("took", "trusted"), [(800, False), (8_000, True)])
-def test_a_reading_is_trusted_for_some_times_of_what_a_work_item_takes(took, trusted):
-    drive = Drive(fleet([0] * 10))
-    loads = drive.balancer.loads
+def test_a_reading_is_trusted_for_a_few_work_items(took, trusted):
+    driver = BalancerDriver(make_listings([0] * 10))
+    loads = driver.balancer.loads
     loads.squares = loads.products = 1e6
-    drive.balancer.on_probe(drive.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0})
-    b = drive.balancer.state.backends["b0"]
-    # A second and a half later: many queues' lives where work is short, a part of one where it is long.
-    assert (loads._sharpness(b, drive.now + 15_000, took) > 8) is trusted
+    driver.balancer.on_probe(driver.now, "b0", Outcome.FINISHED, 3, {"outstanding": 0})
+    b = driver.balancer.state.backends["b0"]
+    # After 1.5 s a queue of short work items has changed many times, one of long ones has not.
+    assert (loads._sharpness(b, driver.now + 15_000, took) > 8) is trusted
 
 
 @pytest.mark.parametrize(("slower", "kept"), [(0.8, True), (1.6, False)])
-def test_a_key_stays_at_home_while_that_is_less_than_the_work_it_saves(slower, kept):
-    drive = Drive(fleet([0] * 10), family_info__warm_keys=True)
-    home = drive.balancer.key_affinity.preferred("k")[0]
-    home.log_slowness, home.slowness_at, home.answered_at = slower, drive.now, drive.now
+def test_a_key_stays_at_its_backend_while_that_is_not_much_slower(slower, kept):
+    driver = BalancerDriver(make_listings([0] * 10), family_info__warm_keys=True)
+    home = driver.balancer.key_affinity.preferred("k")[0]
+    home.log_slowness, home.slowness_at, home.answered_at = slower, driver.now, driver.now
     named, sent = 0, 0
     for key in map("k{}".format, range(400)):
-        mine = drive.balancer.key_affinity.preferred(key)[0] is home
+        mine = driver.balancer.key_affinity.preferred(key)[0] is home
         named += mine
-        for ho in hand_offs(drive.take(key=key)):
-            sent += mine and ho.backend == home.id
-            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
+        for attempt in attempts(driver.submit(key=key)):
+            sent += mine and attempt.backend == home.id
+            driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
     assert (sent > 0.5 * named) == kept
 
 
@@ -279,41 +290,41 @@
     ("out", "slowdown", "sent"),
     [(1, 2.0, True), (2, 2.0, True), (3, 2.0, False), (3, 1.0, True), (4, 1.0, False)],
 )
-def test_two_at_once_are_chance_where_a_share_is_small(out, slowdown, sent):
-    drive = Drive(fleet([0] * 10), balancers=40)
-    drive.balancer.admission.limit = 0.12  # times ten backends: room for little more than one
-    drive.balancer.state.open, drive.balancer.state.mean_open = out, 0.3
-    drive.balancer.state.open_at = drive.now
-    drive.balancer.admission.slowdown = slowdown
-    assert bool(hand_offs(drive.take())) == sent
+def test_two_in_flight_do_not_reach_a_small_limit(out, slowdown, sent):
+    driver = BalancerDriver(make_listings([0] * 10), balancers=40)
+    driver.balancer.admission.limit = 0.12  # times ten backends: room for little more than one
+    driver.balancer.state.open, driver.balancer.state.mean_open = out, 0.3
+    driver.balancer.state.open_at = driver.now
+    driver.balancer.admission.slowdown = slowdown
+    assert bool(attempts(driver.submit())) == sent
 
 
 @pytest.mark.parametrize(("sooner", "more"), [(0.2, 1.22), (5.0, 1.35)])
-def test_a_cold_backend_that_answers_sooner_than_assumed_bears_more_to_some_degree(sooner, more):
-    """Others look much worse, so that it gets all of its share: seven tenths of the push at what it bears."""
+def test_cold_backend_that_answers_sooner_than_assumed_gets_somewhat_more(sooner, more):
+    """The others look much worse, so it gets its whole share: 0.7 of the overload at its capacity."""
     sent, now, turns = 0, 100_000, 1500
-    listings = [*fleet([0] * 7), Listing("c", started_at=now - 4 * SECOND)]
-    drive = Drive(listings, balancers=300, now=now)
-    for b in drive.balancer.state.backends.values():
+    listings = [*make_listings([0] * 7), Listing("c", started_at=now - 4 * SECOND)]
+    driver = BalancerDriver(listings, balancers=300, now=now)
+    for b in driver.balancer.state.backends.values():
         b.log_slowness, b.slowness_at = (-sooner if b.id == "c" else 2.0), now
     for _ in range(turns):
-        for ho in hand_offs(drive.take()):
-            sent += ho.backend == "c"
-            drive.back(ho, Outcome.CANCELLED, after=0, closed=True)
-    told = drive.balancer.health.capacity(drive.balancer.state.backends["c"], now)
-    assert sent / turns == pytest.approx(0.7 * 3.0 * more * told / 8, rel=0.08)
+        for attempt in attempts(driver.submit()):
+            sent += attempt.backend == "c"
+            driver.finish_attempt(attempt, Outcome.CANCELLED, after=0, closed=True)
+    capacity = driver.balancer.health.capacity(driver.balancer.state.backends["c"], now)
+    assert sent / turns == pytest.approx(0.7 * 3.0 * more * capacity / 8, rel=0.08)
 
 
 @pytest.mark.parametrize(("took", "deferred"), [(800, 0), (5000, 1)])
-def test_one_long_work_item_does_not_have_a_quiet_agent_defer_the_next(took, deferred):
-    """Two hundred agents, a share of one work item each: over it by time, and the fleet may be idle."""
-    drive = Drive(fleet([0] * 33), balancers=200, categories__0__due_time=3 * SECOND)
+def test_one_long_work_item_does_not_make_a_quiet_agent_defer_the_next(took, deferred):
+    """200 agents, each limited to about one work item: over it by the mean, while the fleet may be idle."""
+    driver = BalancerDriver(make_listings([0] * 33), balancers=200, categories__0__due_time=3 * SECOND)
     for _ in range(30):
-        drive.now += SECOND
-        for ho in hand_offs(drive.take(0, 4 * SECOND)):
-            drive.back(ho, after=took)
-    drive.now += 3 * SECOND
-    drive.balancer.admission.slowdown = took / 800
-    drive.take(0, 6 * SECOND)
-    drive.now += 17 * SECOND // 10
-    assert len(answers(drive.take(0, 4 * SECOND))) == deferred
+        driver.now += SECOND
+        for attempt in attempts(driver.submit(0, 4 * SECOND)):
+            driver.finish_attempt(attempt, after=took)
+    driver.now += 3 * SECOND
+    driver.balancer.admission.slowdown = took / 800
+    driver.submit(0, 6 * SECOND)
+    driver.now += 17 * SECOND // 10
+    assert len(answers(driver.submit(0, 4 * SECOND))) == deferred
