--- a/src/nettledeal/cli.py
+++ b/src/nettledeal/cli.py
@@ -247,11 +247,10 @@
     \b
     nettledeal fleet rehearse --count 20000
     """
-    from nettledeal_simulations.membership import many
-    from nettledeal_simulations.membership import rehearse as run_schedule
+    from nettledeal_simulations.membership import run_schedule, run_schedules
 
     failures = 0
-    for seed, violations in many(run_schedule, range(first, first + count)):
+    for seed, violations in run_schedules(run_schedule, range(first, first + count)):
         failures += 1
         click.echo(f"seed {seed}: {'; '.join(violations[:3])}")
     click.echo(f"{count} schedules from seed {first} on, {failures} broke an invariant")
--- a/src/nettledeal_simulations/membership_baselines.py
+++ b/src/nettledeal_simulations/membership_baselines.py
@@ -1,5 +1,5 @@
-"""What membership is measured against, in virtual time: SWIM without Lifeguard's extensions, and heartbeats
-from all to all. Baselines only; no agent runs them.
+"""Baselines that membership is compared with in virtual time: SWIM without Lifeguard's extensions, and
+all-to-all heartbeats. No agent runs them.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from nettledeal.membership.view import MemberRecord, State
 from nettledeal.net.address import Address
 from nettledeal.units import Time
-from nettledeal_simulations.membership import START, Rehearsal, Weather
+from nettledeal_simulations.membership import START, LinkConditions, Simulation
 
 
-class Plain(Member):
-    """Believes itself always: no own illness, no lateness of its own, a suspicion of one length."""
+class SwimMember(Member):
+    """SWIM without Lifeguard: ignores its local health and its own lateness; suspicion time is fixed."""
 
     @property
     def last_heard_at(self) -> Time:
@@ -40,36 +40,36 @@
         self._schedule(self.suspicions[record.name].ends_at, "suspicion_timeout", record.name)
 
 
-class Heartbeats(Plain):
-    """Tells all that it lives, a period after another, and holds for dead who has been silent for as long as
-    a suspicion lasts elsewhere."""
+class HeartbeatMember(SwimMember):
+    """Sends a heartbeat to every member once a period; declares a member dead that has been silent for the
+    suspicion timeout."""
 
-    def __init__(self, *arguments: Any, **named: Any):
-        super().__init__(*arguments, **named)
-        self.last: dict[str, Time] = {}
+    def __init__(self, *arguments: Any, **options: Any):
+        super().__init__(*arguments, **options)
+        self.last_heartbeats: dict[str, Time] = {}
 
     def _probe_round(self) -> None:
         self._schedule(self.now + self.timing.period, "probe_round")
         for name in list(self.ring):
-            word = self.view.records[name]
-            if self.now - self.last.setdefault(name, self.now) > self.timing.suspicion:
-                self._declare(word, State.DEAD)
-                self.last.pop(name)
+            record = self.view.records[name]
+            if self.now - self.last_heartbeats.setdefault(name, self.now) > self.timing.suspicion:
+                self._declare(record, State.DEAD)
+                self.last_heartbeats.pop(name)
             else:
-                self._send(GOSSIP, word.address)
+                self._send(GOSSIP, record.address)
 
     def _apply_packet(self, packet: Packet, source: Address) -> bool:
         sender = packet.sender
         known = self.view.records.get(sender.name)
-        taken = super()._apply_packet(packet, source)
-        if taken:
-            self.last[sender.name] = self.now
+        accepted = super()._apply_packet(packet, source)
+        if accepted:
+            self.last_heartbeats[sender.name] = self.now
             if known is not None and not known.live and known.started_at == sender.started_at:
-                self._send(GOSSIP, source, first_record=known)  # it lives: it will say so
-        return taken
+                self._send(GOSSIP, source, first_record=known)  # it is alive and will refute this record
+        return accepted
 
 
-BUILDS = {"lifeguard": Member, "without": Plain, "heartbeats": Heartbeats}
+MEMBER_CLASSES = {"lifeguard": Member, "without": SwimMember, "heartbeats": HeartbeatMember}
 
 
 def compare(
@@ -83,60 +83,74 @@
     seed: int = 1,
     timing: Timing | None = None,
 ) -> dict[str, Any]:
-    """Figures of one build under the same weather, pauses and deaths as the others of that seed;
-    simulated."""
-    rehearsal = Rehearsal(count, seed, timing or Timing(), BUILDS[name], together=SECOND, weigh=True, seeds=3)
-    rehearsal.run(START + 10 * SECOND)
-    sent, size = rehearsal.sent, rehearsal.bytes
-    rehearsal.run(START + 30 * SECOND)
+    """Simulate one of `MEMBER_CLASSES`; equal arguments mean equal packet loss, pauses (in s) and crashes.
+
+    Returns message costs, false suspicions and deaths per hour and member, and detection times.
+    """
+    simulation = Simulation(
+        count,
+        seed,
+        timing or Timing(),
+        MEMBER_CLASSES[name],
+        start_spread=SECOND,
+        measure_bytes=True,
+        seed_count=3,
+    )
+    simulation.run(START + 10 * SECOND)
+    sent_before, bytes_before = simulation.datagrams_sent, simulation.bytes_sent
+    simulation.run(START + 30 * SECOND)
     costs = {
-        "sent_each_s": (rehearsal.sent - sent) / count / 20,
-        "bytes_each_s": (rehearsal.bytes - size) / count / 20,
+        "sent_each_s": (simulation.datagrams_sent - sent_before) / count / 20,
+        "bytes_each_s": (simulation.bytes_sent - bytes_before) / count / 20,
     }
-    rehearsal.weather = Weather(loss=loss)
-    since, away = rehearsal.now, []
-    turn = 0
-    while rehearsal.now - since < minutes * 60 * SECOND:
-        some = range(turn % 3, count, 3) if pause else ()
-        turn += 1
-        at = rehearsal.now
-        for n in some:
-            rehearsal.pause(n)
-        rehearsal.run(at + round((pause or 1.0) * SECOND))
-        for n in some:
-            rehearsal.go_on(n)
-        away.append((at, rehearsal.now, {f"m{n}" for n in some}))
-        rehearsal.run(rehearsal.now + round((pause or 1.0) * SECOND))
-    until = rehearsal.now
-    rehearsal.run(until + 15 * SECOND)
-    told = [(at, change.record) for at, _, change in rehearsal.changes if at >= since]
-    wronged = {
-        (word.name, word.incarnation)
-        for at, word in told
-        if word.state == State.SUSPECT
+    simulation.link_conditions = LinkConditions(loss=loss)
+    since, pauses = simulation.now, []
+    round_number = 0
+    while simulation.now - since < minutes * 60 * SECOND:
+        paused = range(round_number % 3, count, 3) if pause else ()
+        round_number += 1
+        at = simulation.now
+        for n in paused:
+            simulation.pause(n)
+        simulation.run(at + round((pause or 1.0) * SECOND))
+        for n in paused:
+            simulation.resume(n)
+        pauses.append((at, simulation.now, {f"m{n}" for n in paused}))
+        simulation.run(simulation.now + round((pause or 1.0) * SECOND))
+    until = simulation.now
+    simulation.run(until + 15 * SECOND)
+    reports = [(at, change.record) for at, _, change in simulation.changes if at >= since]
+    false_suspicions = {
+        (record.name, record.incarnation)
+        for at, record in reports
+        if record.state == State.SUSPECT
         and at < until
-        and not any(a <= at <= b + 2 * SECOND and word.name in who for a, b, who in away)
+        and not any(begin <= at <= end + 2 * SECOND and record.name in names for begin, end, names in pauses)
     }
-    killed = {(word.name, word.started_at, word.incarnation) for _, word in told if word.state == State.DEAD}
-    times = []
+    false_deaths = {
+        (record.name, record.started_at, record.incarnation)
+        for _, record in reports
+        if record.state == State.DEAD
+    }
+    detection_times = []
     for n in range(count - deaths, count):
-        at = rehearsal.now
-        rehearsal.crash(n)
-        rehearsal.run(at + 25 * SECOND)
-        times += [
+        at = simulation.now
+        simulation.crash(n)
+        simulation.run(at + 25 * SECOND)
+        detection_times += [
             (when - at) / SECOND
-            for when, who, change in rehearsal.changes
+            for when, observer, change in simulation.changes
             if when >= at
             and change.record.name == f"m{n}"
             and change.record.state == State.DEAD
-            and rehearsal.nodes[who].member is not None
+            and simulation.nodes[observer].member is not None
         ]
-    times.sort()
+    detection_times.sort()
     hours = (until - since) / SECOND / 3600
     return costs | {
-        "wronged_an_hour_each": len(wronged) / hours / count,
-        "false_deaths_an_hour_each": len(killed) / hours / count,
-        "death_median_s": median(times) if times else None,
-        "death_p99_s": times[int(0.99 * (len(times) - 1))] if times else None,
-        "knew": len(times) / max(1, deaths * count - deaths * (deaths + 1) // 2),
+        "wronged_an_hour_each": len(false_suspicions) / hours / count,
+        "false_deaths_an_hour_each": len(false_deaths) / hours / count,
+        "death_median_s": median(detection_times) if detection_times else None,
+        "death_p99_s": detection_times[int(0.99 * (len(detection_times) - 1))] if detection_times else None,
+        "knew": len(detection_times) / max(1, deaths * count - deaths * (deaths + 1) // 2),
     }
--- a/tests/system/test_membership_schedules.py
+++ b/tests/system/test_membership_schedules.py
@@ -13,7 +13,14 @@
 from nettledeal.membership.node import timing_for
 from nettledeal.membership.packets import COMPARE, GOSSIP, VERSION, Packet
 from nettledeal.membership.view import MemberRecord, Metadata, State
-from nettledeal_simulations.membership import START, Fault, Rehearsal, Weather, promises, rehearse
+from nettledeal_simulations.membership import (
+    START,
+    Fault,
+    LinkConditions,
+    Simulation,
+    find_violations,
+    run_schedule,
+)
 
 ZONES = ("zone-one", "zone-two", "zone-three")
 HEARTBEAT_MS = 1200.0
@@ -62,122 +69,124 @@
 
 
 @pytest.mark.parametrize("first_seed", range(0, 100, 20))
-def test_seeded_fault_schedules_keep_the_promises(first_seed):
+def test_seeded_fault_schedules_keep_the_invariants(first_seed):
     broken = {
-        seed: rehearse(seed, count=7, build=system_member) for seed in range(first_seed, first_seed + 20)
+        seed: run_schedule(seed, count=7, build=system_member) for seed in range(first_seed, first_seed + 20)
     }
     assert {seed: found for seed, found in broken.items() if found} == {}
 
 
 @pytest.mark.parametrize("member_class", [NeverRefutes, NeverDeclaresDead])
-def test_the_schedules_detect_a_build_that_breaks_a_promise(member_class):
-    assert any(rehearse(seed, count=7, build=faulty_build(member_class)) for seed in range(12))
+def test_the_schedules_detect_a_build_that_violates_an_invariant(member_class):
+    assert any(run_schedule(seed, count=7, build=faulty_build(member_class)) for seed in range(12))
 
 
 def fleet(count, seed="fleet", build=system_member, **options):
     timing = timing_for(HEARTBEAT_MS)
-    return Rehearsal(count, seed, timing, build=build, together=SECOND // 3, seeds=CORES, places=3, **options)
+    return Simulation(
+        count, seed, timing, build=build, start_spread=SECOND // 3, seed_count=CORES, zone_count=3, **options
+    )
 
 
-def set_ready(rehearsal, number, ready=True):
-    node = rehearsal.nodes[number]
+def set_ready(simulation, number, ready=True):
+    node = simulation.nodes[number]
     metadata = msgspec.structs.replace(node.member.own_record.metadata, ready=ready)
-    cores = [rehearsal.address(core) for core in range(CORES)]
-    rehearsal._do(node, node.member.set_metadata(rehearsal.now, metadata, cores))
+    cores = [simulation.address(core) for core in range(CORES)]
+    simulation.perform(node, node.member.set_metadata(simulation.now, metadata, cores))
 
 
-def is_seen_ready(rehearsal, observer, number):
-    return rehearsal.nodes[observer].member.view.records[f"m{number}"].metadata.ready
+def is_seen_ready(simulation, observer, number):
+    return simulation.nodes[observer].member.view.records[f"m{number}"].metadata.ready
 
 
 @pytest.mark.parametrize("count", [11, 40])
 def test_a_lost_process_is_suspected_within_three_seconds_and_dead_to_all_soon_after(count):
-    rehearsal = fleet(count)
-    rehearsal.run(START + 8 * SECOND)
+    simulation = fleet(count)
+    simulation.run(START + 8 * SECOND)
     lost = [count - 1, count - 2]
-    at = rehearsal.now
+    at = simulation.now
     for number in lost:
-        rehearsal.crash(number)
-    rehearsal.run(at + 3 * SECOND)
+        simulation.crash(number)
+    simulation.run(at + 3 * SECOND)
     for core in range(CORES):
-        view = rehearsal.nodes[core].member.view
+        view = simulation.nodes[core].member.view
         assert all(view.records[f"m{number}"].state >= State.SUSPECT for number in lost)
-    rehearsal.run(at + round(4.5 * SECOND))
-    for node in rehearsal.up:
+    simulation.run(at + round(4.5 * SECOND))
+    for node in simulation.running_nodes:
         assert all(not node.member.view.records[f"m{number}"].live for number in lost)
-    dead = {change.record.name for _, _, change in rehearsal.changes if change.record.state == State.DEAD}
+    dead = {change.record.name for _, _, change in simulation.changes if change.record.state == State.DEAD}
     assert dead == {f"m{number}" for number in lost}
 
 
 @pytest.mark.parametrize("count", [30, 99])
 def test_a_zone_without_power_is_suspected_within_three_and_a_half_seconds(count):
-    rehearsal = fleet(count)
-    rehearsal.run(START + 20 * SECOND)
+    simulation = fleet(count)
+    simulation.run(START + 20 * SECOND)
     lost = range(1, count, 3)
-    at = rehearsal.now
+    at = simulation.now
     for number in lost:
-        rehearsal.crash(number)
-    rehearsal.run(at + round(3.5 * SECOND))
+        simulation.crash(number)
+    simulation.run(at + round(3.5 * SECOND))
     for core in (0, 2):
-        records = rehearsal.nodes[core].member.view.records
+        records = simulation.nodes[core].member.view.records
         assert all(records[f"m{number}"].state >= State.SUSPECT for number in lost)
-    rehearsal.run(at + 6 * SECOND)
-    for node in rehearsal.up:
+    simulation.run(at + 6 * SECOND)
+    for node in simulation.running_nodes:
         assert all(not node.member.view.records[f"m{number}"].live for number in lost)
-    dead = {change.record.name for _, _, change in rehearsal.changes if change.record.state == State.DEAD}
+    dead = {change.record.name for _, _, change in simulation.changes if change.record.state == State.DEAD}
     assert dead == {f"m{number}" for number in lost}
     for number in lost:
-        rehearsal.begin(number)
-    rehearsal.run(at + 9 * SECOND)
+        simulation.start(number)
+    simulation.run(at + 9 * SECOND)
     for core in range(CORES):
-        assert len(rehearsal.nodes[core].member.live_members()) == count
+        assert len(simulation.nodes[core].member.live_members()) == count
 
 
 def test_no_member_is_declared_dead_while_one_datagram_in_ten_is_lost():
-    rehearsal = fleet(20)
-    rehearsal.weather = Weather(loss=0.1)
-    rehearsal.run(START + 60 * SECOND)
-    assert [change.record for _, _, change in rehearsal.changes if change.record.state == State.DEAD] == []
+    simulation = fleet(20)
+    simulation.link_conditions = LinkConditions(loss=0.1)
+    simulation.run(START + 60 * SECOND)
+    assert [change.record for _, _, change in simulation.changes if change.record.state == State.DEAD] == []
 
 
 def test_readiness_is_known_to_the_core_at_once_and_to_all_eventually():
-    rehearsal = fleet(40)
-    rehearsal.run(START + 5 * SECOND)
-    set_ready(rehearsal, 39)
-    rehearsal.run(rehearsal.now + SECOND // 10)
-    assert all(is_seen_ready(rehearsal, core, 39) for core in range(CORES))
-    rehearsal.run(rehearsal.now + 60 * SECOND)
-    assert all(is_seen_ready(rehearsal, number, 39) for number in range(39))
+    simulation = fleet(40)
+    simulation.run(START + 5 * SECOND)
+    set_ready(simulation, 39)
+    simulation.run(simulation.now + SECOND // 10)
+    assert all(is_seen_ready(simulation, core, 39) for core in range(CORES))
+    simulation.run(simulation.now + 60 * SECOND)
+    assert all(is_seen_ready(simulation, number, 39) for number in range(39))
 
 
 def partitioned_fleet(count, seed, cut_off):
     """A fleet at the end of a partition of 30 s: each side holds its own members live and the others dead."""
-    rehearsal = fleet(count, seed)
-    rehearsal.play([Fault("split", 6 * SECOND, 36 * SECOND, cut_off)])
-    rehearsal.run(START + 36 * SECOND - 1)
+    simulation = fleet(count, seed)
+    simulation.schedule_faults([Fault("split", 6 * SECOND, 36 * SECOND, cut_off)])
+    simulation.run(START + 36 * SECOND - 1)
     for number in range(count):
-        live = {record.name for record in rehearsal.nodes[number].member.view.live_records()}
+        live = {record.name for record in simulation.nodes[number].member.view.live_records()}
         side = [other for other in range(count) if (other in cut_off) == (number in cut_off)]
         assert live == {f"m{other}" for other in side} - {f"m{number}"}, (seed, number)
-    return rehearsal
+    return simulation
 
 
 @pytest.mark.parametrize(("count", "seeds"), [(5, 20), (11, 30), (24, 20), (48, 3)])
 def test_views_agree_within_ten_seconds_of_a_zone_partition(count, seeds):
     broken = {}
     for seed in range(seeds):
-        rehearsal = partitioned_fleet(count, seed, tuple(range(0, count, 3)))
-        rehearsal.run(START + 46 * SECOND)
-        broken[seed] = promises(rehearsal)
+        simulation = partitioned_fleet(count, seed, tuple(range(0, count, 3)))
+        simulation.run(START + 46 * SECOND)
+        broken[seed] = find_violations(simulation)
     assert {seed: found for seed, found in broken.items() if found} == {}
 
 
 def test_views_agree_within_ten_seconds_of_a_partition_in_halves():
     broken = {}
     for seed in range(20):
-        rehearsal = partitioned_fleet(11, seed, tuple(range(5)))
-        rehearsal.run(START + 46 * SECOND)
-        broken[seed] = promises(rehearsal)
+        simulation = partitioned_fleet(11, seed, tuple(range(5)))
+        simulation.run(START + 46 * SECOND)
+        broken[seed] = find_violations(simulation)
     assert {seed: found for seed, found in broken.items() if found} == {}
 
 
@@ -217,25 +226,25 @@
 
 @pytest.mark.parametrize("step_s", [-30, 30, -0.5, 0.5])
 def test_a_restart_after_a_clock_step_is_seen_as_a_new_process(step_s):
-    rehearsal = fleet(8)
-    rehearsal.run(START + 5 * SECOND)
-    rehearsal.crash(7)
-    rehearsal.nodes[7].ahead = round(step_s * SECOND)
-    rehearsal.at(rehearsal.now + SECOND, rehearsal.begin, 7)
-    rehearsal.run(rehearsal.now + 4 * SECOND)
-    own_record = rehearsal.nodes[7].member.own_record
-    for node in rehearsal.up[:7]:
+    simulation = fleet(8)
+    simulation.run(START + 5 * SECOND)
+    simulation.crash(7)
+    simulation.nodes[7].clock_offset = round(step_s * SECOND)
+    simulation.schedule(simulation.now + SECOND, simulation.start, 7)
+    simulation.run(simulation.now + 4 * SECOND)
+    own_record = simulation.nodes[7].member.own_record
+    for node in simulation.running_nodes[:7]:
         record = node.member.view.records["m7"]
         assert record.live and record.started_at == own_record.started_at
 
 
 def test_a_large_fleet_stays_within_its_traffic_budget():
     count = 96
-    rehearsal = fleet(count, weigh=True)
+    simulation = fleet(count, measure_bytes=True)
     for number in range(CORES, count):
-        rehearsal.at(START + SECOND, set_ready, rehearsal, number)
-    rehearsal.run(START + 10 * SECOND)
-    before, between = rehearsal.bytes, rehearsal.bytes_between
-    rehearsal.run(START + 30 * SECOND)
-    assert (rehearsal.bytes - before) / count / 20 < 1_000
-    assert (rehearsal.bytes_between - between) / count / 20 < 350
+        simulation.schedule(START + SECOND, set_ready, simulation, number)
+    simulation.run(START + 10 * SECOND)
+    before, between = simulation.bytes_sent, simulation.bytes_between_zones
+    simulation.run(START + 30 * SECOND)
+    assert (simulation.bytes_sent - before) / count / 20 < 1_000
+    assert (simulation.bytes_between_zones - between) / count / 20 < 350
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -26,14 +26,14 @@
 from nettledeal.membership.suspicion import MAX_CONFIRMATIONS
 from nettledeal.membership.view import MAX_INCARNATION, MemberRecord, OperatorOrder, State, View
 from nettledeal_simulations.membership import (
-    BRISK,
+    FAST_TIMING,
     START,
     Fault,
-    Rehearsal,
-    Weather,
-    many,
-    promises,
-    rehearse,
+    LinkConditions,
+    Simulation,
+    find_violations,
+    run_schedule,
+    run_schedules,
 )
 
 NOW = START
@@ -158,7 +158,7 @@
 
 
 def single_member(name="m0", seeds=(), **options):
-    member = Member(name, ("10.0.0.0", 7946), "fleet", seeds, BRISK, Random(1), NOW, **options)
+    member = Member(name, ("10.0.0.0", 7946), "fleet", seeds, FAST_TIMING, Random(1), NOW, **options)
     member.start(NOW)
     return member
 
@@ -214,7 +214,7 @@
     assert (PING, claim.address) in {(action.packet.kind, action.address) for action in sent}
     assert not member.silent
     now = NOW + 10
-    while member.own_record.started_at <= claim.started_at and now < NOW + BRISK.suspicion:
+    while member.own_record.started_at <= claim.started_at and now < NOW + FAST_TIMING.suspicion:
         now += 100
         member.on_timer(now)
     # Nobody answered at the claimed address, so the member keeps its name, with a later start time.
@@ -231,17 +231,17 @@
 
 
 def test_a_member_that_ran_late_accuses_nobody_and_lowers_its_health():
-    rehearsal = Rehearsal(5, "late", together=SECOND)
-    rehearsal.run(START + 5 * SECOND)
-    member = rehearsal.nodes[0].member
+    simulation = Simulation(5, "late", start_spread=SECOND)
+    simulation.run(START + 5 * SECOND)
+    member = simulation.nodes[0].member
     before = member.health.suspicions_started
     # Packets received during the pause are dropped, so the first thing it notices is its own lateness.
-    rehearsal.pause(0)
-    rehearsal.run(START + 7 * SECOND)
-    rehearsal.nodes[0].held.clear()
-    rehearsal.go_on(0)
+    simulation.pause(0)
+    simulation.run(START + 7 * SECOND)
+    simulation.nodes[0].queued_datagrams.clear()
+    simulation.resume(0)
     assert member.health.late_wakeups == 1 and member.health.score > 1
-    rehearsal.run(START + 8 * SECOND)
+    simulation.run(START + 8 * SECOND)
     assert member.health.suspicions_started == before
 
 
@@ -293,54 +293,54 @@
 
 
 @pytest.mark.parametrize("first", range(0, SCHEDULES, SCHEDULES_PER_TEST))
-def test_a_thousand_fault_schedules_keep_the_promises(first):
+def test_a_thousand_fault_schedules_keep_the_invariants(first):
     # Split into parts that can run in parallel. `nettledeal fleet rehearse` runs any number of schedules.
-    broken = {seed: rehearse(seed) for seed in range(first, first + SCHEDULES_PER_TEST)}
+    broken = {seed: run_schedule(seed) for seed in range(first, first + SCHEDULES_PER_TEST)}
     assert {seed: found for seed, found in broken.items() if found} == {}
 
 
-def breaks_on_two_seeds(seed):
-    """Reports a broken promise for the seeds 0 and 1."""
-    return [f"broken {seed}"] if seed < 2 else rehearse(seed)
+def violates_on_two_seeds(seed):
+    """Reports a violation for the seeds 0 and 1."""
+    return [f"broken {seed}"] if seed < 2 else run_schedule(seed)
 
 
 @pytest.mark.alone
-def test_schedules_on_all_cores_report_those_that_broke_a_promise():
-    assert sorted(many(breaks_on_two_seeds, range(30))) == [(0, ["broken 0"]), (1, ["broken 1"])]
+def test_schedules_on_all_cores_report_those_that_violated_an_invariant():
+    assert sorted(run_schedules(violates_on_two_seeds, range(30))) == [(0, ["broken 0"]), (1, ["broken 1"])]
 
 
 @pytest.mark.parametrize("build", [NeverRefutes, NeverDeclaresDead])
-def test_the_schedules_detect_a_build_that_breaks_a_promise(build):
-    assert any(rehearse(seed, build=build) for seed in range(12))
+def test_the_schedules_detect_a_build_that_violates_an_invariant(build):
+    assert any(run_schedule(seed, build=build) for seed in range(12))
 
 
-def broken_after_partition(build):
-    """Promises broken long after the end of a partition whose halves held each other dead."""
-    rehearsal = Rehearsal(6, "apart", build=build, together=SECOND, seeds=1)
-    rehearsal.play([Fault("split", 4 * SECOND, 16 * SECOND, (3, 4, 5))])
-    rehearsal.run(START + 14 * SECOND)
-    assert all(not node.member.view.records["m0"].live for node in rehearsal.nodes[3:])
-    rehearsal.run(START + 40 * SECOND)
-    return promises(rehearsal)
+def violations_after_partition(build):
+    """Invariants violated long after the end of a partition whose halves considered each other dead."""
+    simulation = Simulation(6, "apart", build=build, start_spread=SECOND, seed_count=1)
+    simulation.schedule_faults([Fault("split", 4 * SECOND, 16 * SECOND, (3, 4, 5))])
+    simulation.run(START + 14 * SECOND)
+    assert all(not node.member.view.records["m0"].live for node in simulation.nodes[3:])
+    simulation.run(START + 40 * SECOND)
+    return find_violations(simulation)
 
 
 def test_the_halves_of_a_partition_merge_since_dead_members_are_contacted():
-    assert broken_after_partition(Member) == []
-    assert broken_after_partition(NeverContactsDead) != []
+    assert violations_after_partition(Member) == []
+    assert violations_after_partition(NeverContactsDead) != []
 
 
-def crash(count, seed, build=Member, **weather):
+def crash(count, seed, build=Member, **conditions):
     """Crash one member under the given network conditions. Returns when each other member declared it dead,
     and the deaths declared of other members."""
-    rehearsal = Rehearsal(count, seed, build=build, together=SECOND)
-    rehearsal.run(START + 6 * SECOND)
-    rehearsal.weather = Weather(**weather)
-    at = rehearsal.now
-    rehearsal.crash(count - 1)
-    rehearsal.run(at + 30 * SECOND)
+    simulation = Simulation(count, seed, build=build, start_spread=SECOND)
+    simulation.run(START + 6 * SECOND)
+    simulation.link_conditions = LinkConditions(**conditions)
+    at = simulation.now
+    simulation.crash(count - 1)
+    simulation.run(at + 30 * SECOND)
     dead = [
         (when - at, who, change.record.name)
-        for when, who, change in rehearsal.changes
+        for when, who, change in simulation.changes
         if when >= at and change.record.state == State.DEAD
     ]
     return {who: when for when, who, name in dead if name == f"m{count - 1}"}, [
@@ -354,7 +354,10 @@
     known, others = crash(count, f"crash {count} {loss}", loss=loss)
     assert sorted(known) == list(range(count - 1)) and others == []
     # Some probe rounds, the longest suspicion (a single accuser), and a second of gossip.
-    assert max(known.values()) <= 8 * BRISK.period + 2 * MAX_SUSPICION_FACTOR * BRISK.suspicion + SECOND
+    assert (
+        max(known.values())
+        <= 8 * FAST_TIMING.period + 2 * MAX_SUSPICION_FACTOR * FAST_TIMING.suspicion + SECOND
+    )
 
 
 def test_without_suspicion_packet_loss_has_live_members_declared_dead():
@@ -363,47 +366,47 @@
 
 def test_hundreds_of_members_learn_of_a_crash():
     timing = Timing(period=10_000, probe=3_000, suspicion=30_000, spread=2_000, swap=10_000_000)
-    rehearsal = Rehearsal(500, "large", timing)
-    first = rehearsal.nodes[0].member
+    simulation = Simulation(500, "large", timing)
+    first = simulation.nodes[0].member
     # All members know each other from the start; joining at once has a test of its own.
-    everyone = [MemberRecord(f"m{n}", *rehearsal.address(n), START, 0, State.ALIVE) for n in range(500)]
-    rehearsal.run(START)
-    for node in rehearsal.nodes:
+    everyone = [MemberRecord(f"m{n}", *simulation.address(n), START, 0, State.ALIVE) for n in range(500)]
+    simulation.run(START)
+    for node in simulation.nodes:
         for other in everyone:
             if other.name != node.member.name:
                 node.member._apply_record(other, False)
-    rehearsal.crash(7)
-    rehearsal.run(START + 14 * SECOND)
-    dead = {who for _, who, change in rehearsal.changes if change.record.state == State.DEAD}
-    names = {change.record.name for _, _, change in rehearsal.changes if change.record.state == State.DEAD}
+    simulation.crash(7)
+    simulation.run(START + 14 * SECOND)
+    dead = {who for _, who, change in simulation.changes if change.record.state == State.DEAD}
+    names = {change.record.name for _, _, change in simulation.changes if change.record.state == State.DEAD}
     assert first is None and names == {"m7"} and len(dead) == 499
 
 
 @pytest.mark.parametrize("build", [Member, AcceptsOldRecords])
 def test_an_old_record_revives_no_dead_member(build):
-    rehearsal = Rehearsal(5, "old news", build=build, together=SECOND)
-    rehearsal.run(START + 5 * SECOND)
-    old = rehearsal.nodes[4].member.own_record
-    rehearsal.crash(4)
-    rehearsal.run(START + 20 * SECOND)
-    node = rehearsal.nodes[0]
-    peer = rehearsal.nodes[1].member
-    node.member.on_datagram(rehearsal.now, peer._make_packet("tell", 0, records=[old]), peer.address)
+    simulation = Simulation(5, "old news", build=build, start_spread=SECOND)
+    simulation.run(START + 5 * SECOND)
+    old = simulation.nodes[4].member.own_record
+    simulation.crash(4)
+    simulation.run(START + 20 * SECOND)
+    node = simulation.nodes[0]
+    peer = simulation.nodes[1].member
+    node.member.on_datagram(simulation.now, peer._make_packet("tell", 0, records=[old]), peer.address)
     assert node.member.view.records["m4"].live is (build is AcceptsOldRecords)
 
 
 def test_after_a_partition_all_members_hold_the_newest_order_per_subject():
-    rehearsal = Rehearsal(6, "cordons", together=SECOND)
-    rehearsal.play([Fault("split", 4 * SECOND, 12 * SECOND, (3, 4, 5))])
-    rehearsal.run(START + 6 * SECOND)
+    simulation = Simulation(6, "cordons", start_spread=SECOND)
+    simulation.schedule_faults([Fault("split", 4 * SECOND, 12 * SECOND, (3, 4, 5))])
+    simulation.run(START + 6 * SECOND)
     for n, subject, cordoned in ((0, "b1", True), (4, "b2", True), (3, "b1", False)):
-        rehearsal.run(rehearsal.now + 100)
-        node = rehearsal.nodes[n]
-        rehearsal._do(node, node.member.issue_order(rehearsal.now, subject, cordoned))
-    rehearsal.run(START + 40 * SECOND)
-    held = [{o.subject: o.cordoned for o in node.member.view.orders.values()} for node in rehearsal.nodes]
+        simulation.run(simulation.now + 100)
+        node = simulation.nodes[n]
+        simulation.perform(node, node.member.issue_order(simulation.now, subject, cordoned))
+    simulation.run(START + 40 * SECOND)
+    held = [{o.subject: o.cordoned for o in node.member.view.orders.values()} for node in simulation.nodes]
     assert held == [{"b1": False, "b2": True}] * 6
-    assert {order.subject for _, n, order in rehearsal.orders if n == 5} == {"b1", "b2"}
+    assert {order.subject for _, n, order in simulation.orders if n == 5} == {"b1", "b2"}
 
 
 # Derived from the view: the fleet size and the subsets.
